--- a/moleport/__init__.py
+++ b/moleport/__init__.py
@@ -1,1 +1,1 @@
-"""driftstair: a reverse-proxy node round the decisions of lichenspring."""
+"""moleport: a layer-7 reverse proxy node and the module that makes its decisions."""
--- a/moleport/__main__.py
+++ b/moleport/__main__.py
@@ -11,13 +11,13 @@
 
 import uvloop
 
-from driftstair.config import Config, ConfigError, load, reload
-from driftstair.net.front import Front
-from driftstair.net.node import Node
-from driftstair.net.upstream import Pools
-from driftstair.telemetry import Event
+from moleport.config.node_config import Config, ConfigError, load, reload
+from moleport.node.attempt import Pools
+from moleport.node.dispatcher import Node
+from moleport.node.listener import Front
+from moleport.telemetry import Event
 
-log = logging.getLogger("driftstair")
+log = logging.getLogger("moleport")
 
 RESERVED = 40  # descriptors: the interpreter's, the loop's, the listening socket, discovery, and slack
 CLIENTS_PART = 0.55  # of the rest; the others are for servers
@@ -99,7 +99,7 @@
     try:
         address = front.listen()
     except OSError as problem:
-        print(f"driftstair: BALANCER_LISTEN can't be used: {problem.strerror}", file=sys.stderr)
+        print(f"moleport: BALANCER_LISTEN can't be used: {problem.strerror}", file=sys.stderr)
         return 2
     # What has been made by now stays; the collector need not look at it, and little of it is garbage.
     gc.freeze()
@@ -116,7 +116,7 @@
     try:
         config = load(os.environ)
     except ConfigError as problem:
-        print(f"driftstair: {problem}", file=sys.stderr)
+        print(f"moleport: {problem}", file=sys.stderr)
         return 2
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(serve(config))
--- /dev/null
+++ b/moleport/adapter/__init__.py
@@ -0,0 +1,1 @@
+"""The decision module on the wire of the simulator."""
--- a/moleport/adapter/__main__.py
+++ b/moleport/adapter/__main__.py
@@ -7,10 +7,10 @@
 from collections.abc import Mapping
 from typing import Any, BinaryIO, TypeVar
 
-from lichenspring import interface as api
-from lichenspring import wire
-from lichenspring.balance import Balancer
-from lichenspring.settings import SettingsError, settings_from
+from moleport.adapter import frames as wire
+from moleport.config.settings import SettingsError, settings_from
+from moleport.policy import interface as api
+from moleport.policy.balancer import Balancer
 
 _T = TypeVar("_T")
 
@@ -149,7 +149,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (wire.WireError, SettingsError) as problem:
-        print(f"lichenspring: {problem}", file=sys.stderr)
+        print(f"moleport: {problem}", file=sys.stderr)
         return 1
     return 0
 
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -7,7 +7,7 @@
 from sys import intern
 from typing import Any, NamedTuple
 
-from lichenspring.interface import ServerState
+from moleport.policy.interface import ServerState
 
 STATES = {
     "Ready": ServerState.READY,
--- a/moleport/config/node_config.py
+++ b/moleport/config/node_config.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from driftstair.hosts import HostList, ListError, parse_address, parse_list
-from lichenspring import interface as api
-from lichenspring.settings import SettingsError, Values, flat, settings_from
+from moleport.config.endpoints import HostList, ListError, parse_address, parse_list
+from moleport.config.settings import SettingsError, Values, flat, settings_from
+from moleport.policy import interface as api
 
 SOCKETS_LEAST = 96  # below that no node could serve anybody
 
--- a/moleport/config/settings.py
+++ b/moleport/config/settings.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import TypeVar
 
-from lichenspring import interface as api
+from moleport.policy import interface as api
 
 _T = TypeVar("_T")
 
--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -15,9 +15,9 @@
 
 import httptools
 
-from driftstair.net.errnos import OWN, Fault, fault_of
-from driftstair.telemetry import Event
-from lichenspring.interface import Result, ServerId
+from moleport.node.error_codes import OWN, Fault, fault_of
+from moleport.policy.interface import Result, ServerId
+from moleport.telemetry import Event
 
 BODY_MOST = 64 << 10  # bytes of an answer
 HEAD_MOST = 16 << 10
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from driftstair.hosts import Host, HostList, ListError, parse_head, parse_hosts
+from moleport.config.endpoints import Host, HostList, ListError, parse_head, parse_hosts
 
 log = logging.getLogger(__name__)
 
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -14,18 +14,18 @@
 from time import monotonic_ns
 from typing import Protocol
 
-from driftstair.config import Config
-from driftstair.hosts import Host, HostList
-from driftstair.net import discovery
-from driftstair.net.discovery import Discovery
-from driftstair.net.holds import HoldDetector
-from driftstair.net.invariants import Write, broken_by
-from driftstair.net.upstream import Answer, Attempt, Permit, Pools
-from driftstair.starts import StartTimes
-from driftstair.telemetry import Event, Telemetry
-from lichenspring import Balancer
-from lichenspring import interface as api
-from lichenspring.interface import NEVER_RAN, ListKind, ListMode, Result, ServerState
+from moleport.config.endpoints import Host, HostList
+from moleport.config.node_config import Config
+from moleport.node import discovery_watch as discovery
+from moleport.node.attempt import Answer, Attempt, Permit, Pools
+from moleport.node.discovery_watch import Discovery
+from moleport.node.hold_detector import HoldDetector
+from moleport.node.invariants import Write, broken_by
+from moleport.node.server_start_times import StartTimes
+from moleport.policy import Balancer
+from moleport.policy import interface as api
+from moleport.policy.interface import NEVER_RAN, ListKind, ListMode, Result, ServerState
+from moleport.telemetry import Event, Telemetry
 
 log = logging.getLogger(__name__)
 
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -10,7 +10,7 @@
 import asyncio
 from time import monotonic_ns
 
-from driftstair.telemetry import Event, Telemetry
+from moleport.telemetry import Event, Telemetry
 
 MS = 1_000_000  # ns
 HEARTBEAT = 20 * MS  # between two signs of life of the loop
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from lichenspring.interface import Repeat
+from moleport.policy.interface import Repeat
 
 MS = 1_000_000  # ns
 CLIENT_LEFT_MOST = 100 * MS  # an attempt may begin so long after its client's close
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -13,12 +13,12 @@
 from time import monotonic_ns
 from typing import cast
 
-from driftstair.config import Config
-from driftstair.net.errnos import Fault, fault_of
-from driftstair.net.holds import HOLD_LEAST
-from driftstair.net.node import Call, Node, key_number
-from driftstair.net.request import UP, Incoming, Reader
-from driftstair.telemetry import Event
+from moleport.config.node_config import Config
+from moleport.node.dispatcher import Call, Node, key_number
+from moleport.node.error_codes import Fault, fault_of
+from moleport.node.hold_detector import HOLD_LEAST
+from moleport.node.request_parser import UP, Incoming, Reader
+from moleport.telemetry import Event
 
 log = logging.getLogger(__name__)
 
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -7,9 +7,9 @@
 
 import httptools
 
-from driftstair.config import Config
-from driftstair.net.upstream import BODY_MOST, HEAD_MOST, HOP_BY_HOP
-from lichenspring.interface import Repeat
+from moleport.config.node_config import Config
+from moleport.node.attempt import BODY_MOST, HEAD_MOST, HOP_BY_HOP
+from moleport.policy.interface import Repeat
 
 FIELDS_MOST = 100  # headers
 FRAMING_MOST = 8 * BODY_MOST  # bytes that a body may take with its chunks' framing
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -20,8 +20,8 @@
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
 
-from driftstair.hosts import Host
-from lichenspring.interface import ServerState
+from moleport.config.endpoints import Host
+from moleport.policy.interface import ServerState
 
 MS = 1_000_000  # ns
 REMEMBERED_MOST = 1024  # starts of servers that have left, beside as many as are listed; one may return
--- a/moleport/policy/__init__.py
+++ b/moleport/policy/__init__.py
@@ -1,5 +1,5 @@
-"""lichenspring: the decisions of a reverse proxy that spreads requests over HTTP servers."""
+"""The decisions of the node, pure: timed events in, actions out."""
 
-from lichenspring.balance import Balancer
+from moleport.policy.balancer import Balancer
 
 __all__ = ["Balancer"]
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -17,8 +17,8 @@
 from math import exp, inf, sqrt
 from random import Random
 
-from lichenspring import interface as api
-from lichenspring.candidates import (
+from moleport.policy import interface as api
+from moleport.policy.hashing import (
     FULL_PART,
     LEAST_WEIGHT,
     MOST_WEIGHT,
@@ -28,7 +28,7 @@
     mix,
     to_units,
 )
-from lichenspring.interface import NEVER_RAN, Group, ListKind, ListMode, Repeat, Result, ServerState
+from moleport.policy.interface import NEVER_RAN, Group, ListKind, ListMode, Repeat, Result, ServerState
 
 SECOND = 1_000_000_000  # ns
 
--- a/scale/candidates.py
+++ b/scale/candidates.py
@@ -21,9 +21,9 @@
 from time import process_time_ns
 from typing import Any, Protocol
 
-from lichenspring import Balancer
-from lichenspring import interface as api
-from lichenspring.candidates import Grid, mix, to_units
+from moleport.policy import Balancer
+from moleport.policy import interface as api
+from moleport.policy.hashing import Grid, mix, to_units
 
 SIZES = (60, 200, 1_000, 3_600, 7_200)
 SMOKE_SIZES = (60, 200)
@@ -48,7 +48,7 @@
 
 
 class SparseSlots:
-    """What the module uses (lichenspring/candidates.py)."""
+    """What the module uses (moleport/policy/hashing.py)."""
 
     def __init__(self, weights: dict[bytes, float]) -> None:
         self._grid: Grid[bytes] = Grid()
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -13,8 +13,8 @@
 
 import numpy as np
 
-from lichenspring import Balancer
-from lichenspring import interface as api
+from moleport.policy import Balancer
+from moleport.policy import interface as api
 from scale import world
 from scale.figures import fit
 
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -19,14 +19,14 @@
 
 import uvloop
 
-from driftstair.__main__ import assemble
-from driftstair.config import Config, load
-from driftstair.hosts import Host, HostList, parse_list
-from driftstair.net.discovery import Discovery, _Watch
-from driftstair.net.node import digest
-from driftstair.net.upstream import Pools
-from lichenspring import Balancer
-from lichenspring import interface as api
+from moleport.__main__ import assemble
+from moleport.config.endpoints import Host, HostList, parse_list
+from moleport.config.node_config import Config, load
+from moleport.node.attempt import Pools
+from moleport.node.discovery_watch import Discovery, _Watch
+from moleport.node.dispatcher import digest
+from moleport.policy import Balancer
+from moleport.policy import interface as api
 
 SIZES = (60, 200, 1000, 3600, 7200)
 SMOKE_SIZES = (60, 200)
--- a/scale/real/processes.py
+++ b/scale/real/processes.py
@@ -65,7 +65,7 @@
 
 
 class NodeProcess:
-    """One real node: `python -m driftstair`."""
+    """One real node: `python -m moleport`."""
 
     def __init__(self, process: asyncio.subprocess.Process, address: tuple[str, int], began: float) -> None:
         self.process = process
@@ -130,7 +130,7 @@
         path.write_text(json.dumps(document))
         began = monotonic()
         process = await asyncio.create_subprocess_exec(
-            *ENDS_WITH_US, sys.executable, "-m", "driftstair", cwd=ROOT,
+            *ENDS_WITH_US, sys.executable, "-m", "moleport", cwd=ROOT,
             env={**os.environ, "BALANCER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
         reading = None
--- a/scale/world.py
+++ b/scale/world.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-from lichenspring import interface as api
+from moleport.policy import interface as api
 
 MS = 1_000_000  # ns
 SECOND = 1000 * MS
--- a/soak/shims.py
+++ b/soak/shims.py
@@ -72,7 +72,7 @@
 def main() -> int:
     install(Faults(Path(sys.argv[1]), create=False))
     sys.path.insert(0, str(ROOT))
-    from driftstair.__main__ import main as node
+    from moleport.__main__ import main as node
 
     return node()
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -16,9 +16,9 @@
 
 from world import MS, SECOND, START, settings
 
-from lichenspring import Balancer
-from lichenspring import interface as api
-from lichenspring.interface import Result
+from moleport.policy import Balancer
+from moleport.policy import interface as api
+from moleport.policy.interface import Result
 
 LATENCY = MS  # one way
 DIAL_TIMEOUT = 60 * MS
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,11 +15,11 @@
 
 import uvloop
 
-from driftstair.__main__ import assemble
-from driftstair.config import Config, load
-from driftstair.net.front import Front
-from driftstair.net.node import Node
-from lichenspring import interface as api
+from moleport.__main__ import assemble
+from moleport.config.node_config import Config, load
+from moleport.node.dispatcher import Node
+from moleport.node.listener import Front
+from moleport.policy import interface as api
 
 PATIENCE = 20.0  # s: only a test that has failed waits so long
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,8 +11,9 @@
 
 import pytest
 
-from lichenspring import adapter, wire
-from lichenspring import interface as api
+from moleport.adapter import __main__ as adapter
+from moleport.adapter import frames as wire
+from moleport.policy import interface as api
 
 ROOT = Path(__file__).parent.parent
 CLOCK = 8_418_000_000
@@ -78,7 +79,7 @@
 
 def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-m", "lichenspring.adapter"], input=data, capture_output=True, cwd=ROOT, timeout=60
+        [sys.executable, "-m", "moleport.adapter"], input=data, capture_output=True, cwd=ROOT, timeout=60
     )
 
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -8,9 +8,10 @@
 import pytest
 from world import KEYED, MS, SAFE, SECOND, START, UNSAFE, Node, server, settings, whole
 
-from lichenspring import Balancer, balance
-from lichenspring import interface as api
-from lichenspring.interface import Result
+from moleport.policy import Balancer
+from moleport.policy import balancer as balance
+from moleport.policy import interface as api
+from moleport.policy.interface import Result
 
 
 def window(node: Node, count: int, elapsed: int, class_index: int = 0) -> None:
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -18,9 +18,9 @@
 from hypothesis import strategies as st
 from world import SECOND, Node, server, settings, whole
 
-from lichenspring import interface as api
-from lichenspring.candidates import Candidates, Grid, mix, to_units
-from lichenspring.interface import ListKind, Result, ServerState
+from moleport.policy import interface as api
+from moleport.policy.hashing import Candidates, Grid, mix, to_units
+from moleport.policy.interface import ListKind, Result, ServerState
 
 
 def operations(what: Callable[[], object]) -> int:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -23,8 +23,8 @@
     until,
 )
 
-from driftstair.net import front
-from lichenspring import interface as api
+from moleport.node import listener as front
+from moleport.policy import interface as api
 
 
 def test_a_request_goes_on_as_protocol_says() -> None:
@@ -524,7 +524,7 @@
 
 def test_a_timer_that_the_module_failed_on_comes_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a breaker that never updates again: its tick sets the next one itself."""
-    monkeypatch.setattr("driftstair.net.node.MENDED_AFTER", 1_000_000)
+    monkeypatch.setattr("moleport.node.dispatcher.MENDED_AFTER", 1_000_000)
     failed: list[int] = []
 
     def broken(event: api.Event) -> list[api.Action] | None:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -8,8 +8,8 @@
 from fleet import Plan, play
 from world import MS, SECOND, START, Node, server, settings, whole
 
-from lichenspring import interface as api
-from lichenspring.interface import Result
+from moleport.policy import interface as api
+from moleport.policy.interface import Result
 
 # Fall multiple, fall time, cold share and cold time.
 STRICT = (1.5, 1500 * MS, 0.5, 5 * SECOND)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -22,11 +22,11 @@
     until,
 )
 
-from driftstair.hosts import parse_list
-from driftstair.net import upstream
-from driftstair.net.node import digest
-from lichenspring import interface as api
-from lichenspring.interface import Result
+from moleport.config.endpoints import parse_list
+from moleport.node import attempt as upstream
+from moleport.node.dispatcher import digest
+from moleport.policy import interface as api
+from moleport.policy.interface import Result
 
 
 def change(*servers: Server, full: bool = False):  # type: ignore[no-untyped-def]
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -14,9 +14,9 @@
 import pytest
 from rig import Message, Rig, Server, configuration, grade, request, reset, run, until
 
-from driftstair.net import upstream
-from lichenspring import interface as api
-from lichenspring.interface import Result
+from moleport.node import attempt as upstream
+from moleport.policy import interface as api
+from moleport.policy.interface import Result
 
 CROWD = 300  # clients
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,12 +9,12 @@
 import pytest
 from rig import PATIENCE, Discovery, Rig, Server, configuration, request, run, until
 
-from driftstair.hosts import parse_address
-from driftstair.net import discovery
-from driftstair.net.node import WATCH_DOUBLINGS, WATCH_PAUSE, WATCH_PAUSE_PART, digest
-from lichenspring import balance
-from lichenspring import interface as api
-from lichenspring.interface import ListKind, ServerState
+from moleport.config.endpoints import parse_address
+from moleport.node import discovery_watch as discovery
+from moleport.node.dispatcher import WATCH_DOUBLINGS, WATCH_PAUSE, WATCH_PAUSE_PART, digest
+from moleport.policy import balancer as balance
+from moleport.policy import interface as api
+from moleport.policy.interface import ListKind, ServerState
 
 
 def test_first_line_changes_and_whole_lists_are_told_in_order() -> None:
@@ -404,7 +404,7 @@
 
 
 def test_pushed_lists_are_watched_without_being_asked(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("driftstair.net.node.WATCH_PAUSE", 0.01)
+    monkeypatch.setattr("moleport.node.dispatcher.WATCH_PAUSE", 0.01)
 
     async def test() -> None:
         async with Discovery() as source:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -16,11 +16,12 @@
 from hypothesis import strategies as st
 from rig import Client, Discovery, Rig, Server, configuration, request, run, status, until
 
-from driftstair.hosts import Host, HostList, ListError, parse_address, parse_list
-from driftstair.net import discovery, node
-from driftstair.net.node import SLICE, digest
-from lichenspring import interface as api
-from lichenspring.interface import ListKind, ServerState
+from moleport.config.endpoints import Host, HostList, ListError, parse_address, parse_list
+from moleport.node import discovery_watch as discovery
+from moleport.node import dispatcher as node
+from moleport.node.dispatcher import SLICE, digest
+from moleport.policy import interface as api
+from moleport.policy.interface import ListKind, ServerState
 from scale.lists import measure
 
 MANY = 7200
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -37,18 +37,18 @@
     until,
 )
 
-from driftstair.__main__ import CLIENTS_PART, RESERVED, SERVE_ON, plan_end
-from driftstair.config import load
+from moleport.__main__ import CLIENTS_PART, RESERVED, SERVE_ON, plan_end
+from moleport.config.node_config import load
 
 ROOT = Path(__file__).parent.parent
 UP = request(target="/up", method="GET")
 
 
 # The program, but with time enough after SIGTERM that a slow machine gives the same verdict.
-SLOWER = "import sys, driftstair.__main__ as program; program.SERVE_ON = 2.0; sys.exit(program.main())"
+SLOWER = "import sys, moleport.__main__ as program; program.SERVE_ON = 2.0; sys.exit(program.main())"
 # The program, but an agent that takes its time is waited for.
 PATIENT = (
-    "import sys, driftstair.__main__ as program, driftstair.net.discovery as discovery;"
+    "import sys, moleport.__main__ as program, moleport.node.discovery_watch as discovery;"
     "discovery.ANSWER = discovery.FIRST = 60.0; sys.exit(program.main())"
 )
 
@@ -58,7 +58,7 @@
     **options: Any,
 ) -> asyncio.subprocess.Process:  # fmt: skip
     environment = {**env, "BALANCER_CONFIG": str(path)}
-    program = command or [sys.executable, *(("-c", code) if code else ("-m", "driftstair"))]
+    program = command or [sys.executable, *(("-c", code) if code else ("-m", "moleport"))]
     return await asyncio.create_subprocess_exec(
         *program, cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE, **options
     )
@@ -93,7 +93,7 @@
 def test_the_build_leaves_bytecode_so_that_a_start_compiles_nothing(tmp_path: Path) -> None:
     """The disk is read-only for a node: each start compiled all modules, and paid for it in CPU time with a
     stop of 0.15 to 0.2 s just as the first clients came."""
-    for name in ("deploy", "driftstair", "lichenspring", "requirements.txt"):
+    for name in ("deploy", "moleport", "requirements.txt"):
         copy = shutil.copytree if (ROOT / name).is_dir() else shutil.copy
         copy(ROOT / name, tmp_path / name)
     for cache in tmp_path.rglob("__pycache__"):
@@ -107,10 +107,10 @@
     os.utime(tmp_path / "requirements.txt", (0, 0))
     build = tomllib.loads((tmp_path / "deploy" / "balancer.toml").read_text())["build"]
     subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True, timeout=PATIENCE * 2)
-    sources = [path for name in ("driftstair", "lichenspring") for path in (tmp_path / name).rglob("*.py")]
+    sources = [path for name in ("moleport",) for path in (tmp_path / name).rglob("*.py")]
     assert sources
     assert not [path for path in sources if not Path(cache_from_source(str(path))).exists()]
-    start = "import runpy; runpy.run_module('driftstair')"  # as `-m` does, but ends once all is imported
+    start = "import runpy; runpy.run_module('moleport')"  # as `-m` does, but ends once all is imported
     verbose = subprocess.run(
         [sys.executable, "-v", "-c", start], cwd=tmp_path, timeout=PATIENCE, capture_output=True, text=True,
         env=os.environ | {"PYTHONDONTWRITEBYTECODE": "1"}, check=True,
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -82,7 +82,7 @@
         self._begun = asyncio.get_running_loop().time()
         with open(self._folder / "log", "ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "driftstair", cwd=ROOT, stderr=log, preexec_fn=pin,
+                sys.executable, "-m", "moleport", cwd=ROOT, stderr=log, preexec_fn=pin,
                 env={**os.environ, "BALANCER_CONFIG": str(self._folder / "config.json")},
             )  # fmt: skip
 
--- a/tests/test_recorded_events.py
+++ b/tests/test_recorded_events.py
@@ -1,8 +1,9 @@
 """The decisions on recorded events stay the same to the byte.
 
-Each recording is a fixed stream of events for one node: lists, requests, outcomes, departures and timers, made
-from a seed and from what the module answers. The digest covers every event and every action. A change that
-means to alter decisions replaces the digests and says so in its commit; any other change leaves them alone.
+Each recording is a fixed stream of events for one node: lists, requests, outcomes, departures and timers,
+made from a seed and from what the module answers. The digest covers every event and every action. A change
+that means to alter decisions replaces the digests and says so in its commit; any other change leaves them
+as they are.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 
 import pytest
 
-from lichenspring import Balancer
-from lichenspring import interface as api
+from moleport.policy import Balancer
+from moleport.policy import interface as api
 
 MS = 1_000_000  # ns
 SECOND = 1_000 * MS
@@ -129,7 +130,7 @@
         if self.servers[server].state is api.ServerState.GONE:
             return api.Result.CONNECT_FAILED if self.random.randrange(2) else api.Result.RESET
         pace = self.slow.get(server, 1.0)
-        if not pace or elapsed >= 200 * MS and self.random.randrange(2):
+        if not pace or (elapsed >= 200 * MS and self.random.randrange(2)):
             return api.Result.TIMEOUT
         rare = self.random.randrange(60)
         others = (
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 from world import BASE, MS, Game, RuleBroken, settings
 
-from lichenspring import Balancer, balance
-from lichenspring import interface as api
+from moleport.policy import Balancer
+from moleport.policy import balancer as balance
+from moleport.policy import interface as api
 
 SHAPES = st.fixed_dictionaries({
     "list_mode": st.sampled_from(api.ListMode),
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -17,11 +17,11 @@
 
 def test_all_decisions_are_counted() -> None:
     """Whatever the module's main file imports of its package, but for the interface, is part of it."""
-    assert "lichenspring/balance.py" in POLICY
-    own = {path.name for path in (ROOT / "lichenspring").glob("*.py")}
-    others = {"__init__.py", "interface.py", "settings.py", "adapter.py", "wire.py"}
-    assert {f"lichenspring/{name}" for name in own - others} == set(POLICY)
+    assert "moleport/policy/balancer.py" in POLICY
+    own = {path.name for path in (ROOT / "moleport" / "policy").glob("*.py")}
+    others = {"__init__.py", "interface.py"}
+    assert {f"moleport/policy/{name}" for name in own - others} == set(POLICY)
 
 
 def test_the_top_of_the_module_names_its_interface() -> None:
-    assert "interface.py" in (ROOT / "lichenspring" / "balance.py").read_text().splitlines()[0]
+    assert "interface.py" in (ROOT / "moleport" / "policy" / "balancer.py").read_text().splitlines()[0]
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from driftstair.hosts import Host
-from driftstair.starts import REMEMBERED_MOST, StartTimes
-from lichenspring.interface import ServerState
+from moleport.config.endpoints import Host
+from moleport.node.server_start_times import REMEMBERED_MOST, StartTimes
+from moleport.policy.interface import ServerState
 
 MS = 1_000_000
 NOW = 500 * 1000 * MS  # monotonic ns
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -12,10 +12,10 @@
 from test_candidates import delta, fleet, in_zones, operations
 from world import MS, SECOND, Game, Node, server, settings, whole
 
-from lichenspring import Balancer
-from lichenspring import interface as api
-from lichenspring.candidates import UNITS, HeavyHitters, to_units
-from lichenspring.interface import Result, ServerState
+from moleport.policy import Balancer
+from moleport.policy import interface as api
+from moleport.policy.hashing import UNITS, HeavyHitters, to_units
+from moleport.policy.interface import Result, ServerState
 
 TICK = api.Timer(1)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,8 +9,8 @@
 from dataclasses import replace
 from random import Random
 
-from lichenspring import Balancer
-from lichenspring import interface as api
+from moleport.policy import Balancer
+from moleport.policy import interface as api
 
 SECOND = 1_000_000_000
 MS = SECOND // 1000
