--- a/Makefile
+++ b/Makefile
@@ -2,6 +2,7 @@
 
 .PHONY: check scale
 check:
+	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m ruff check .
 	$(PYTHON) -m mypy
 	$(PYTHON) -m pytest -q
--- a/moleport/adapter/__main__.py
+++ b/moleport/adapter/__main__.py
@@ -15,13 +15,21 @@
 _T = TypeVar("_T")
 
 LIST_KINDS = {
-    0: api.ListKind.CACHED, 2: api.ListKind.DELTA, 3: api.ListKind.FULL, 4: api.ListKind.FAILED,
+    0: api.ListKind.CACHED,
+    2: api.ListKind.DELTA,
+    3: api.ListKind.FULL,
+    4: api.ListKind.FAILED,
 }
 STATES = {0: api.ServerState.GONE, 1: api.ServerState.READY, 2: api.ServerState.DRAINING}
 UNUSED = frozenset((wire.In.ACK_FIRST, wire.In.SAMPLED, wire.In.MAIL))  # the module decides nothing by them
 RESULTS = {
-    100: api.Result.OK, 301: api.Result.ERROR, 302: api.Result.FULL, 303: api.Result.TIMEOUT,
-    304: api.Result.CONNECT_FAILED, 305: api.Result.RESET, 306: api.Result.CANCELLED,
+    100: api.Result.OK,
+    301: api.Result.ERROR,
+    302: api.Result.FULL,
+    303: api.Result.TIMEOUT,
+    304: api.Result.CONNECT_FAILED,
+    305: api.Result.RESET,
+    306: api.Result.CANCELLED,
     307: api.Result.NOT_SENT,
 }
 RESUBMITTED = 2  # bit of a request's options
@@ -110,9 +118,7 @@
             return api.Request(request, ttl, category, tenant, key, bool(options & RESUBMITTED))
         if code == wire.In.FINISHED:
             request, last, rc, lag, server, leg, report = fields
-            return api.Outcome(
-                request, bool(last), _lookup(RESULTS, rc, "outcome"), lag, server, leg, report
-            )
+            return api.Outcome(request, bool(last), _lookup(RESULTS, rc, "outcome"), lag, server, leg, report)
         if code == wire.In.DUE:
             return api.Timer(fields[0])
         if code == wire.In.SYNC:
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -95,12 +95,16 @@
         weight = float(entry.get("weight", 1.0))
         return Host(
             # Many entries share these names, and each would hold a copy.
-            identity, address, intern(str(entry.get("zone", ""))), intern(str(entry.get("kind", ""))),
-            int(entry.get("cell", 0)), state,
+            identity,
+            address,
+            intern(str(entry.get("zone", ""))),
+            intern(str(entry.get("kind", ""))),
+            int(entry.get("cell", 0)),
+            state,
             # Without end it would leave all others without keys; no figure is as any other.
             weight if 0.0 < weight < inf else 1.0,
             max(0, int(entry.get("started_ms", 0))),
-        )  # fmt: skip
+        )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError, ListError) as problem:
         name = entry.get("id") if isinstance(entry, dict) else entry
         raise ListError(f"bad entry {name!r:.80}: {problem!r:.200}") from None
--- a/moleport/config/settings.py
+++ b/moleport/config/settings.py
@@ -14,9 +14,13 @@
 LIST_MODES = {"pushed": api.ListMode.PUSHED, "on_request": api.ListMode.ON_REQUEST}
 FLAGS = {"true": True, "false": False}
 REPORT_FIELDS = {
-    "concurrent": "in_flight", "depth": "queued", "load_share": "utilization",
-    "mean_ms": "service_ms", "tps": "completed_per_s", "err_ps": "errors_per_s",
-}  # fmt: skip
+    "concurrent": "in_flight",
+    "depth": "queued",
+    "load_share": "utilization",
+    "mean_ms": "service_ms",
+    "tps": "completed_per_s",
+    "err_ps": "errors_per_s",
+}
 
 
 class SettingsError(Exception):
--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -33,10 +33,20 @@
 IDLE_PART = 0.9  # of the server's idle limit: what is written to a connection after that limit is lost
 NO_FAULT_OF_THE_REQUEST = (408, 429)  # 4xx, yet of the server's own time and load
 WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
-HOP_BY_HOP = frozenset((
-    b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization", b"proxy-connection", b"te",
-    b"trailer", b"transfer-encoding", b"upgrade", b"content-length",
-))  # fmt: skip
+HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+    )
+)
 """Headers that belong to one connection, and the length, which each side states anew."""
 
 
@@ -73,15 +83,40 @@
     """One request at one server. It ends once: by `end`, and then its owner hears of it."""
 
     __slots__ = (
-        "_body", "_connection", "_dial", "_dialed", "_head", "_own_faults", "_owner", "_timer", "_wait_timer",
-        "_write_timer", "done", "expires", "index", "pool", "request", "server", "since", "write_by",
+        "_body",
+        "_connection",
+        "_dial",
+        "_dialed",
+        "_head",
+        "_own_faults",
+        "_owner",
+        "_timer",
+        "_wait_timer",
+        "_write_timer",
+        "done",
+        "expires",
+        "index",
+        "pool",
+        "request",
+        "server",
+        "since",
+        "write_by",
         "written_at",
-    )  # fmt: skip
+    )
 
     def __init__(
-        self, owner: AttemptOwner, request: int, index: int, server: ServerId, pool: Pool, head: bytes,
-        body: bytes, since: int, expires: int, write_by: int,
-    ) -> None:  # fmt: skip
+        self,
+        owner: AttemptOwner,
+        request: int,
+        index: int,
+        server: ServerId,
+        pool: Pool,
+        head: bytes,
+        body: bytes,
+        since: int,
+        expires: int,
+        write_by: int,
+    ) -> None:
         self.request = request  # its number
         self.index = index  # among the attempts of its request, from 0
         self.server = server
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -117,9 +117,12 @@
         self._starts = StartTimes()
         pushed = config.settings.list_mode is ListMode.PUSHED
         self._discovery = Discovery(
-            config.discovery, config.known.version, self._list_came, self._watch_failed,
+            config.discovery,
+            config.known.version,
+            self._list_came,
+            self._watch_failed,
             discovery.ANSWER if pushed else discovery.QUEUED_ANSWER,
-        )  # fmt: skip
+        )
         self._synced = asyncio.Event()
 
     # Start and stop.
@@ -254,9 +257,7 @@
             self._identities.add(call.identity)
             request.watchdog = self._loop.call_later((call.deadline - now) / 1e9, self._overdue, request)
             self._tell(
-                api.Request(
-                    request.number, left, call.class_index, call.tenant, call.key, call.resubmitted
-                )
+                api.Request(request.number, left, call.class_index, call.tenant, call.key, call.resubmitted)
             )
         return request.number
 
@@ -337,11 +338,17 @@
         now = monotonic_ns()
         latest = request.call.deadline - TRANSIT
         attempt = Attempt(
-            self, request.number, index, action.server, pool, request.call.head, request.call.body,
+            self,
+            request.number,
+            index,
+            action.server,
+            pool,
+            request.call.head,
+            request.call.body,
             since=now - self.holds.stalled_ns(),
             expires=min(latest, now + action.time_out) if action.time_out else latest,
             write_by=action.write_by,
-        )  # fmt: skip
+        )
         request.out[index] = attempt
         attempt.start()
 
@@ -413,9 +420,7 @@
                 self._answer(request.number, answer.status, [], b"")
         self._forget_if_done(request)
         report = self._report(answer.load) if answer is not None and answer.load else ()
-        self._tell(
-            api.Outcome(request.number, request.answered, result, elapsed, server, index, report)
-        )
+        self._tell(api.Outcome(request.number, request.answered, result, elapsed, server, index, report))
 
     def _report(self, text: bytes) -> tuple[float, ...]:
         """The load report in the order of the settings; nothing, if a field is missing or unreadable."""
@@ -473,8 +478,9 @@
             self._outstanding.clear()
             gone = [
                 host._replace(state=ServerState.GONE)
-                for host in self._hosts.values() if host.id not in latest
-            ]  # fmt: skip
+                for host in self._hosts.values()
+                if host.id not in latest
+            ]
         elif self._outstanding:
             for identity in latest:
                 self._outstanding.pop(identity, None)
@@ -524,7 +530,11 @@
     def _server(self, host: Host) -> api.Server:
         zones, kinds = self._config.zones, self._config.kinds
         return api.Server(
-            digest(host.id), zones.get(host.zone, len(zones)), host.cell, host.state, host.weight,
+            digest(host.id),
+            zones.get(host.zone, len(zones)),
+            host.cell,
+            host.state,
+            host.weight,
             self._starts.translate(host),
             kinds.get(host.kind, len(kinds)),
-        )  # fmt: skip
+        )
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -20,10 +20,21 @@
 UNITS = {b"m": 1_000_000, b"u": 1_000}
 IDENTITY = re.compile(rb"[0-9A-Za-z._:~-]{1,64}")
 NOT_FORWARDED = HOP_BY_HOP | {b"x-deadline", b"expect"}
-SINGLE = frozenset((
-    b"host", b"content-length", b"transfer-encoding", b"expect", b"x-request-id", b"x-class", b"x-tenant",
-    b"x-key", b"x-deadline", b"x-retry", b"idempotency-key",
-))  # fmt: skip
+SINGLE = frozenset(
+    (
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"expect",
+        b"x-request-id",
+        b"x-class",
+        b"x-tenant",
+        b"x-key",
+        b"x-deadline",
+        b"x-retry",
+        b"idempotency-key",
+    )
+)
 """Headers that the node or a server goes by: of two, each reader might believe another one."""
 
 
@@ -39,9 +50,19 @@
     """One request; whole once its reader hands it out."""
 
     __slots__ = (
-        "arrived", "body", "class_index", "expects", "fields", "headers", "keep_alive", "method", "path",
-        "patience", "size", "url",
-    )  # fmt: skip
+        "arrived",
+        "body",
+        "class_index",
+        "expects",
+        "fields",
+        "headers",
+        "keep_alive",
+        "method",
+        "path",
+        "patience",
+        "size",
+        "url",
+    )
 
     def __init__(self) -> None:
         self.url = self.path = self.method = b""
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -955,9 +955,9 @@
         else:
             for backend in came:
                 insort(self._ready, backend, key=_id)
-        self._candidates.update({
-            one.entry.id: (one.entry.zone, one.entry.weight, one) if one.ready else None for one in changed
-        })
+        self._candidates.update(
+            {one.entry.id: (one.entry.zone, one.entry.weight, one) if one.ready else None for one in changed}
+        )
         self._set_caps()
 
     def _uncount(self, backend: Backend) -> None:
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -317,8 +317,9 @@
         hot = ((key, self._counts.get(key, 0.0) / self._scale) for key in {**self.spread, **self._risen})
         self.spread = {
             key: max(1, min(servers, 1 + ceil(count / fair)))
-            for key, count in hot if count >= HOT_LEAST and count > fair
-        }  # fmt: skip
+            for key, count in hot
+            if count >= HOT_LEAST and count > fair
+        }
         self._risen.clear()
         keep = min(1.0, KEY_MEMORY * servers / max(1.0, total))
         if not keep:
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -130,9 +130,14 @@
         _require("cold_share", 0.0 <= self.cold_share <= 1.0, self.cold_share)
         _require("fall_multiple", 0.0 <= self.fall_multiple < float("inf"), self.fall_multiple)
         for name, least in (
-            ("nodes", 1), ("max_attempts", 1), ("ask_within", 0), ("cold_time", 0),
-            ("max_retry_after", 0), ("idle_close", 0), ("key_rest", 0),
-        ):  # fmt: skip
+            ("nodes", 1),
+            ("max_attempts", 1),
+            ("ask_within", 0),
+            ("cold_time", 0),
+            ("max_retry_after", 0),
+            ("idle_close", 0),
+            ("key_rest", 0),
+        ):
             value = getattr(self, name)
             _require(name, value >= least, value)
 
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -174,8 +174,10 @@
         owned = bool(one.missing()) and one.missing().lower() in page
         if not owned:
             missed.append(one)
-        print(f"{'MISSING' if owned else 'NOT MET'}: {one.part}: {one.name} at {one.size}: "
-              f"{figures.number(one.value)} {one.unit}, bound {figures.number(one.bound)}")  # fmt: skip
+        print(
+            f"{'MISSING' if owned else 'NOT MET'}: {one.part}: {one.name} at {one.size}: "
+            f"{figures.number(one.value)} {one.unit}, bound {figures.number(one.bound)}"
+        )
     for text in failures:
         print(f"FAILED: {text}")
     print(f"{len(found)} figures, {len(missed)} not met, {len(failures)} parts failed")
--- a/scale/candidates.py
+++ b/scale/candidates.py
@@ -163,8 +163,10 @@
             self._weights[name] = hash_of(name), weight
 
     def find(self, key: int) -> bytes | None:
-        scores = ((weight / -log((mix(key ^ one) + 1) / 2.0**64), name)
-                  for name, (one, weight) in self._weights.items())  # fmt: skip
+        scores = (
+            (weight / -log((mix(key ^ one) + 1) / 2.0**64), name)
+            for name, (one, weight) in self._weights.items()
+        )
         return max(scores)[1]
 
 
@@ -234,9 +236,14 @@
 
 
 ALGORITHMS: dict[str, type[Algorithm]] = {
-    "sparse_slots": SparseSlots, "maglev_like": MaglevLike, "ring_100": Ring, "multi_probe_21": MultiProbe,
-    "rendezvous": Rendezvous, "anchor": Anchor, "dx": Dx,
-}  # fmt: skip
+    "sparse_slots": SparseSlots,
+    "maglev_like": MaglevLike,
+    "ring_100": Ring,
+    "multi_probe_21": MultiProbe,
+    "rendezvous": Rendezvous,
+    "anchor": Anchor,
+    "dx": Dx,
+}
 BASELINE, CHOSEN = "maglev_like", "sparse_slots"
 COMPARED_AT = (200, 7_200)  # servers: shares and moves of the algorithms that were not chosen
 SLOW = {"multi_probe_21": 8}  # fewer keys are asked of it by so much
@@ -313,8 +320,10 @@
         load, unreached = most_loaded(kind(dict.fromkeys(names, 1.0)), keys, size)
         rows.append(("servers without a key", unreached, "", 0.0, "each server was paid for"))
         rows.append(("most loaded against the mean", load, "", 1.25, "it decides what the fleet carries"))
-    return [row(name, what, size, value, unit, bound if chosen else None, why)
-            for what, value, unit, bound, why in rows]  # fmt: skip
+    return [
+        row(name, what, size, value, unit, bound if chosen else None, why)
+        for what, value, unit, bound, why in rows
+    ]
 
 
 def row(name: str, what: str, size: int, value: float, unit: str, bound: float | None, why: str) -> Row:
@@ -347,10 +356,17 @@
     bounds = {"whole list": 50.0, "one change": 1.0}
     why = {"whole list": "one stop of the loop", "one change": "3,200 a day", "one draw": "two for a request"}
     return [
-        row(name, what, size, median(values), "us" if what == "one draw" else "ms",
-            bounds.get(what) if name == CHOSEN else None, why[what])
+        row(
+            name,
+            what,
+            size,
+            median(values),
+            "us" if what == "one draw" else "ms",
+            bounds.get(what) if name == CHOSEN else None,
+            why[what],
+        )
         for (name, what), values in taken.items()
-    ]  # fmt: skip
+    ]
 
 
 def entry(number: int, state: api.ServerState = api.ServerState.READY) -> api.Server:
@@ -360,10 +376,21 @@
 def node_settings() -> api.Settings:
     kind = api.RequestClass(SECOND, 1.0, 0.5, api.Repeat.SAFE)
     return api.Settings(
-        classes=(kind, kind), tenants=(), nodes=1, list_mode=api.ListMode.PUSHED, ask_within=0,
-        cold_share=0.3, cold_time=SECOND, max_attempts=3, max_retry_after=SECOND, retry_after=True,
-        worth_by_work=False, report_fields=(), idle_close=15 * SECOND, zone=0,
-    )  # fmt: skip
+        classes=(kind, kind),
+        tenants=(),
+        nodes=1,
+        list_mode=api.ListMode.PUSHED,
+        ask_within=0,
+        cold_share=0.3,
+        cold_time=SECOND,
+        max_attempts=3,
+        max_retry_after=SECOND,
+        retry_after=True,
+        worth_by_work=False,
+        report_fields=(),
+        idle_close=15 * SECOND,
+        zone=0,
+    )
 
 
 def old_tick(full: list[dict[int, float]], counts: dict[int, float]) -> dict[int, float]:
--- a/scale/figures.py
+++ b/scale/figures.py
@@ -106,9 +106,17 @@
     if value is None or not isfinite(value) or (bound is not None and isnan(bound)):
         raise FigureError(f"{part}: {entry['name']}: value {value!r}, bound {bound!r}")
     return Figure(
-        part, str(entry["name"]), label(entry["size"]), value, str(entry["unit"]), bound,
-        str(entry.get("why", "")), spread, bool(entry.get("calculated")), str(entry.get("mechanism", "")),
-    )  # fmt: skip
+        part,
+        str(entry["name"]),
+        label(entry["size"]),
+        value,
+        str(entry["unit"]),
+        bound,
+        str(entry.get("why", "")),
+        spread,
+        bool(entry.get("calculated")),
+        str(entry.get("mechanism", "")),
+    )
 
 
 def number(value: float | None) -> str:
@@ -131,12 +139,16 @@
     head = ("what", "size", "figure", "spread", "unit", "bound", "")
     rows = [
         (
-            one.name + (" (calculated)" if one.calculated else ""), one.size, number(one.value),
-            f"±{number(one.spread)}" if one.spread is not None else "", one.unit, number(one.bound),
+            one.name + (" (calculated)" if one.calculated else ""),
+            one.size,
+            number(one.value),
+            f"±{number(one.spread)}" if one.spread is not None else "",
+            one.unit,
+            number(one.bound),
             verdict(one),
         )
         for one in figures
-    ]  # fmt: skip
+    ]
     widths = [max(len(row[column]) for row in (head, *rows)) for column in range(len(head))]
     right = {2, 3, 5}
 
@@ -165,15 +177,22 @@
         spread = f" ±{number(one.spread)}" if one.spread is not None else ""
         bound = f"{number(one.bound)} {verdict(one)}" if one.bound is not None else ""
         cells = (
-            one.name, one.size, f"{number(one.value)}{spread} {one.unit}" + ", calculated" * one.calculated,
-            bound, f"`python -m scale --part {one.part}`", one.mechanism, one.why,
-        )  # fmt: skip
+            one.name,
+            one.size,
+            f"{number(one.value)}{spread} {one.unit}" + ", calculated" * one.calculated,
+            bound,
+            f"`python -m scale --part {one.part}`",
+            one.mechanism,
+            one.why,
+        )
         lines.append("| " + " | ".join(cell.replace("|", "/") for cell in cells) + " |")
     return "\n".join(lines)
 
 
 def write_json(path: Path, figures: Sequence[Figure], failures: Sequence[str], smoke: bool) -> None:
     document: dict[str, Any] = {
-        "smoke": smoke, "failures": list(failures), "figures": [asdict(one) for one in figures]
-    }  # fmt: skip
+        "smoke": smoke,
+        "failures": list(failures),
+        "figures": [asdict(one) for one in figures],
+    }
     path.write_text(json.dumps(document, indent=1) + "\n")
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -107,11 +107,17 @@
     by_servers = [(servers, memory[servers]) for nodes, servers in SIZES if nodes == 30 and servers in memory]
     if len(by_servers) >= 4:
         line = fit(by_servers)
-        found.append({
-            "name": "memory of a hollow node, slope", "size": "servers 60 to 7200", "value": line.slope,
-            "unit": "B a server", "spread": line.slope_error, "bound": None,
-            "why": f"30 nodes; entries of the list are shared; starts at {line.start:.0f} B",
-        })  # fmt: skip
+        found.append(
+            {
+                "name": "memory of a hollow node, slope",
+                "size": "servers 60 to 7200",
+                "value": line.slope,
+                "unit": "B a server",
+                "spread": line.slope_error,
+                "bound": None,
+                "why": f"30 nodes; entries of the list are shared; starts at {line.start:.0f} B",
+            }
+        )
     return found
 
 
@@ -135,9 +141,15 @@
 
     def told(name: str, numbers: list[int], state: api.ServerState) -> None:
         times = fleet.tell_all(world.change(world.server(number, state) for number in numbers))
-        add(f"{name}, last node acting, {AGENTS_S:.0f} s of agents assumed", AGENTS_S + max(times), "s",
-            world.IN_FORCE_S, calculated=True, spread=(max(times) - min(times)) / 2,
-            why="the nodes' processor time is run; the agents' spread is an assumption")  # fmt: skip
+        add(
+            f"{name}, last node acting, {AGENTS_S:.0f} s of agents assumed",
+            AGENTS_S + max(times),
+            "s",
+            world.IN_FORCE_S,
+            calculated=True,
+            spread=(max(times) - min(times)) / 2,
+            why="the nodes' processor time is run; the agents' spread is an assumption",
+        )
 
     keys = list(range(1, KEYS + 1))
     steady = fleet.goes_to(keys)
@@ -147,8 +159,12 @@
         pairs = list(zip(steady, fleet.goes_to(keys), strict=True))
         needless = sum(old != new and old not in lost for old, new in pairs) / KEYS
         held = sum(old in lost for old, _ in pairs) / KEYS
-        add(f"keys moved though their server stayed, {name}", 100 * needless, "%",
-            why=f"and {100 * held:.1f} % whose server was lost; seen from a node of that zone")  # fmt: skip
+        add(
+            f"keys moved though their server stayed, {name}",
+            100 * needless,
+            "%",
+            why=f"and {100 * held:.1f} % whose server was lost; seen from a node of that zone",
+        )
 
     told("one server lost", [0], api.ServerState.GONE)
     moved("one server lost", [0])
@@ -170,11 +186,19 @@
     shares = [one.weight / weight for one in listed]
     chance = np.random.default_rng(1).multinomial(len(fleet.sends), shares)
     lucky = float(np.max(chance / np.array(shares))) / len(fleet.sends)
-    add("load for its weight, most of a server to the mean", most, "times",
-        why=f"{mean:.0f} requests a server; by chance alone {lucky:.2f}")  # fmt: skip
+    add(
+        "load for its weight, most of a server to the mean",
+        most,
+        "times",
+        why=f"{mean:.0f} requests a server; by chance alone {lucky:.2f}",
+    )
     usual = sum(counts[one.id] for one in cold) / sum(one.weight for one in cold) / seconds
-    add("servers that met no request", 100 * (1 - len(counts) / servers), "%",
-        why=f"by chance {100 * float((chance == 0).mean()):.2f} %")  # fmt: skip
+    add(
+        "servers that met no request",
+        100 * (1 - len(counts) / servers),
+        "%",
+        why=f"by chance {100 * float((chance == 0).mean()):.2f} %",
+    )
 
     if rate * COLD_S <= 110_000:
         fleet.tell_all(world.change(one._replace(state=api.ServerState.GONE) for one in cold))
@@ -189,6 +213,11 @@
             own = usual * one.weight * world.FALL_TIME / world.SECOND
             allowed = world.FALL_MULTIPLE * world.COLD_SHARE * own
             worst = max(worst, sent[one.id] / (allowed + 2 * allowed**0.5 + 2))
-        add("cold zone, most attempts to a server in 3 s, of N + 2 sqrt N + 2", worst, "times", 1.0,
-            why="N: 4 times 30% of what its zone took for its weight when warm")  # fmt: skip
+        add(
+            "cold zone, most attempts to a server in 3 s, of N + 2 sqrt N + 2",
+            worst,
+            "times",
+            1.0,
+            why="N: 4 times 30% of what its zone took for its weight when warm",
+        )
     return found
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -39,26 +39,47 @@
 SETTINGS: dict[str, Any] = {
     "Contract": {"AskWithin": 10**10, "Cold": 10**9, "ColdShare": 0.5, "StopSendingWithin": 5 * 10**8},
     "Feedback": {"Fields": [], "How": "none"},
-    "Grades": [{
-        "Aim": 10**9, "Deadline": 10**9, "Group": "all", "LateShare": 0.0, "MemorySpan": 0, "Name": "page",
-        "Semantics": "repeatable", "Stream": False, "Worth": 1.0,
-    }],
-    "Kinds": ["m0", "m1"], "Zones": ["zone-a", "zone-b", "zone-c"], "Tenants": [], "MembershipMode": "pushed",
+    "Grades": [
+        {
+            "Aim": 10**9,
+            "Deadline": 10**9,
+            "Group": "all",
+            "LateShare": 0.0,
+            "MemorySpan": 0,
+            "Name": "page",
+            "Semantics": "repeatable",
+            "Stream": False,
+            "Worth": 1.0,
+        }
+    ],
+    "Kinds": ["m0", "m1"],
+    "Zones": ["zone-a", "zone-b", "zone-c"],
+    "Tenants": [],
+    "MembershipMode": "pushed",
     "Limits": {
-        "DialTimeout": 10**9, "IdleClose": 10**10, "MaxRetryAfter": 10**9, "OpenCap": 20000,
-        "RetryAfter": True, "SendCap": 3,
+        "DialTimeout": 10**9,
+        "IdleClose": 10**10,
+        "MaxRetryAfter": 10**9,
+        "OpenCap": 20000,
+        "RetryAfter": True,
+        "SendCap": 3,
     },
-    "PeersTotal": 200, "WorthBy": "request",
-}  # fmt: skip
+    "PeersTotal": 200,
+    "WorthBy": "request",
+}
 
 
 def entry(number: int) -> dict[str, Any]:
     return {
         "id": f"s-{number * 2654435761 % (1 << 32):08x}",
         "addr": f"10.{number >> 14}.{number >> 7 & 127}.{number & 127}:3000",
-        "zone": f"zone-{'abc'[number % 3]}", "kind": f"m{number % 2}", "cell": number % 8, "state": "Ready",
-        "weight": 1.0, "started_ms": 1_700_000_000_000 + 977 * number,
-    }  # fmt: skip
+        "zone": f"zone-{'abc'[number % 3]}",
+        "kind": f"m{number % 2}",
+        "cell": number % 8,
+        "state": "Ready",
+        "weight": 1.0,
+        "started_ms": 1_700_000_000_000 + 977 * number,
+    }
 
 
 def text(version: int, full: bool, numbers: range | list[int]) -> bytes:
@@ -73,10 +94,13 @@
 
 def configuration(discovery: str) -> Config:
     document = {
-        "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
-        "limits": {"sockets": 1024}, "settings": SETTINGS,
+        "listen": "127.0.0.1:0",
+        "discovery": discovery,
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 1024},
+        "settings": SETTINGS,
         "known": {"version": 0, "full": True, "servers": []},
-    }  # fmt: skip
+    }
     with TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
         path.write_text(json.dumps(document))
@@ -271,8 +295,13 @@
 def _rows(size: int, runs: int) -> Iterator[dict[str, Any]]:
     def row(name: str, value: float, unit: str, bound: float | None, why: str) -> dict[str, Any]:
         return {
-            "name": name, "size": size, "value": round(value, 4), "unit": unit, "bound": bound, "why": why,
-        }  # fmt: skip
+            "name": name,
+            "size": size,
+            "value": round(value, 4),
+            "unit": unit,
+            "bound": bound,
+            "why": why,
+        }
 
     def middle(measured: Callable[..., Coroutine[Any, Any, float]], *given: Any) -> float:
         found: list[float] = [_run(measured, *given) for _ in range(runs)]
@@ -281,27 +310,41 @@
     whole = len(text(2, True, range(size)))
     yield row("list: whole", whole, "bytes", None, "what discovery has to carry to a node")
     yield row(
-        "list: reading a whole one", middle(read_time, size), "ms", None,
+        "list: reading a whole one",
+        middle(read_time, size),
+        "ms",
+        None,
         "from bytes to entries, all slices together",
-    )  # fmt: skip
+    )
     for side, module in (("node", False), ("node and module", True)):
         found = [_run(stops, size, module) for _ in range(runs)]
         for key, what in (
-            ("whole", "a whole one"), ("replaced", "a tenth replaced"), ("one", "a change of one"),
-        ):  # fmt: skip
+            ("whole", "a whole one"),
+            ("replaced", "a tenth replaced"),
+            ("one", "a change of one"),
+        ):
             yield row(
-                f"list: longest stop, {what}, {side}", median(one[key] for one in found), "ms", STOP_BOUND,
+                f"list: longest stop, {what}, {side}",
+                median(one[key] for one in found),
+                "ms",
+                STOP_BOUND,
                 "a request that comes meanwhile waits so long",
-            )  # fmt: skip
+            )
         yield row(
-            f"list: until a whole one is told, {side}", median(one["whole told"] for one in found), "ms",
-            None, "by the clock, from its first byte to its last slice",
-        )  # fmt: skip
+            f"list: until a whole one is told, {side}",
+            median(one["whole told"] for one in found),
+            "ms",
+            None,
+            "by the clock, from its first byte to its last slice",
+        )
         cost = middle(change_time, size, module)
         yield row(
-            f"list: a change of one, {side}", cost, "ms", None if module else CHANGE_BOUND,
+            f"list: a change of one, {side}",
+            cost,
+            "ms",
+            None if module else CHANGE_BOUND,
             "must not grow with the list",
-        )  # fmt: skip
+        )
     for part, value in _run(memory, size).items():
         yield row(f"list: memory, {part}", value, "bytes a server", None, "held for as long as it is listed")
 
--- a/scale/real/control.py
+++ b/scale/real/control.py
@@ -56,9 +56,13 @@
             "node.idle_cpu", size, 100 * idle, "% of a core", "neither requests nor changes", CONTROL_CPU
         )
         report.add(
-            "node.rss", size, process.rss(), "MB",
-            "resident, before any request: all of the process, not only its control", CONTROL_RSS,
-        )  # fmt: skip
+            "node.rss",
+            size,
+            process.rss(),
+            "MB",
+            "resident, before any request: all of the process, not only its control",
+            CONTROL_RSS,
+        )
         told: list[float] = []
         force: list[float] = []
         whole_force: list[float] = []
@@ -126,13 +130,22 @@
     change = report.value("node.change.cpu", size) / 1000
     mean = 100 * (idle + change / CHANGE_EVERY)
     report.add(
-        "node.control_cpu.mean_rate", size, mean, "% of a core",
-        f"idle, and one change in {CHANGE_EVERY:.0f} s", CONTROL_CPU, calculated=True,
-    )  # fmt: skip
+        "node.control_cpu.mean_rate",
+        size,
+        mean,
+        "% of a core",
+        f"idle, and one change in {CHANGE_EVERY:.0f} s",
+        CONTROL_CPU,
+        calculated=True,
+    )
     report.add(
-        "node.control_cpu.worst_minute", size, 100 * (idle + burst_ms / 1000 / 60), "% of a core",
-        f"over 60 s in which {worst_minute(plan)}; {UNGATHERED}", CONTROL_CPU,
-    )  # fmt: skip
+        "node.control_cpu.worst_minute",
+        size,
+        100 * (idle + burst_ms / 1000 / 60),
+        "% of a core",
+        f"over 60 s in which {worst_minute(plan)}; {UNGATHERED}",
+        CONTROL_CPU,
+    )
     empty = len(EMPTY) / EMPTY_EVERY
     rate = report.value("node.change.bytes", size) / CHANGE_EVERY + empty
     report.add(
@@ -153,10 +166,14 @@
         CONTROL_BYTES,
     )
     report.add(
-        "node.control_bytes.whole_list", size, report.value("node.whole_list.bytes", size), "bytes/s",
+        "node.control_bytes.whole_list",
+        size,
+        report.value("node.whole_list.bytes", size),
+        "bytes/s",
         "a whole list comes within one second, as at a start without a list or after an agent's restart",
-        CONTROL_BYTES, mechanism="missing: subsets of the list by service and zone",
-    )  # fmt: skip
+        CONTROL_BYTES,
+        mechanism="missing: subsets of the list by service and zone",
+    )
 
 
 async def tenants(report: Report, plan: Plan) -> None:
@@ -221,9 +238,13 @@
     await tenants(report, plan)
     await classes(report, plan)
     for name, unit in (
-        ("node.rss", "MB/server"), ("node.change.cpu", "ms/server"), ("node.whole_list.cpu", "ms/server"),
-        ("node.whole_list.bytes", "bytes/server"), ("node.reconnect.cpu", "ms/server"),
-        ("node.start_known.cpu", "ms/server"), ("node.start_whole.cpu", "ms/server"),
+        ("node.rss", "MB/server"),
+        ("node.change.cpu", "ms/server"),
+        ("node.whole_list.cpu", "ms/server"),
+        ("node.whole_list.bytes", "bytes/server"),
+        ("node.reconnect.cpu", "ms/server"),
+        ("node.start_known.cpu", "ms/server"),
+        ("node.start_whole.cpu", "ms/server"),
         ("node.idle_cpu", "%/server"),
-    ):  # fmt: skip
+    ):
         report.slope(name, "servers", unit, "")
--- a/scale/real/fleet.py
+++ b/scale/real/fleet.py
@@ -108,10 +108,13 @@
     report.median("agent.change.cpu", size, spent, "ms", f"processor time of the stand-in agent; {what}")
     report.median("agent.change.bytes", size, sent, "bytes", f"{what}, an empty line now and then among them")
     report.median(
-        "fleet.change.in_force", size, force, "s",
+        "fleet.change.in_force",
+        size,
+        force,
+        "s",
         f"{what}, until the last has answered /up, asked for after it; they share this machine's cores",
         IN_FORCE,
-    )  # fmt: skip
+    )
     for name, forget in (("storm", False), ("storm_whole", True)):
         found = [
             await storm(agent, processes, plan.outage, forget) for _ in range(1 if forget else plan.storms)
@@ -124,9 +127,13 @@
             f"agent.{name}.last", size, [one.last for one in found], "s", f"{what}; last watch", IN_FORCE
         )
         report.median(
-            f"agent.{name}.ready", size, [one.ready for one in found], "s",
-            f"{what}; last node has what its watch brought", IN_FORCE,
-        )  # fmt: skip
+            f"agent.{name}.ready",
+            size,
+            [one.ready for one in found],
+            "s",
+            f"{what}; last node has what its watch brought",
+            IN_FORCE,
+        )
         report.median(
             f"agent.{name}.peak", size, [one.peak for one in found], "watches/s", f"{what}; worst second"
         )
--- a/scale/real/load.py
+++ b/scale/real/load.py
@@ -152,9 +152,14 @@
             b"%s /api HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: %016x\r\nX-Class: %s\r\n"
             b"X-Key: %016x\r\nX-Deadline: %dm\r\n%s\r\n%s"
         ) % (
-            b"POST" if post else b"GET", draw.getrandbits(64), b"order" if post else b"page",
-            draw.getrandbits(64), DEADLINE_MS, length, BODY if post else b"",
-        )  # fmt: skip
+            b"POST" if post else b"GET",
+            draw.getrandbits(64),
+            b"order" if post else b"page",
+            draw.getrandbits(64),
+            DEADLINE_MS,
+            length,
+            BODY if post else b"",
+        )
 
     def _dial(self, index: int, data: bytes) -> None:
         if len(self._open) >= CONNECTIONS_MOST:
--- a/scale/real/plan.py
+++ b/scale/real/plan.py
@@ -55,17 +55,47 @@
 
 
 FULL = Plan(
-    sizes=(60, 200, 1000, 3600, 7200), warm=14.0, window=CHANGE_EVERY, settle=1.0, closed=1.2,
-    clients=64, repeats=3, bursts=20, pause=1.0, idle=2.0, together=3, descriptors=(4 * SOCKETS,),
-    tenants=(0, 11_000, 22_000, 44_000), classes=(2, 100, 400, 1_600),
-    fleet=(5, 10, 20, 30), fleet_servers=SERVERS, starting=4, outage=2.0, storms=2,
-)  # fmt: skip
+    sizes=(60, 200, 1000, 3600, 7200),
+    warm=14.0,
+    window=CHANGE_EVERY,
+    settle=1.0,
+    closed=1.2,
+    clients=64,
+    repeats=3,
+    bursts=20,
+    pause=1.0,
+    idle=2.0,
+    together=3,
+    descriptors=(4 * SOCKETS,),
+    tenants=(0, 11_000, 22_000, 44_000),
+    classes=(2, 100, 400, 1_600),
+    fleet=(5, 10, 20, 30),
+    fleet_servers=SERVERS,
+    starting=4,
+    outage=2.0,
+    storms=2,
+)
 SMOKE = Plan(
-    sizes=(60,), warm=0.2, window=0.6, settle=0.1, closed=0.3,
-    clients=8, repeats=1, bursts=3, pause=0.1, idle=0.1, together=2, descriptors=(), tenants=(0, 100),
+    sizes=(60,),
+    warm=0.2,
+    window=0.6,
+    settle=0.1,
+    closed=0.3,
+    clients=8,
+    repeats=1,
+    bursts=3,
+    pause=0.1,
+    idle=0.1,
+    together=2,
+    descriptors=(),
+    tenants=(0, 100),
     classes=(2, 4),
-    fleet=(1, 2), fleet_servers=60, starting=2, outage=0.3, storms=1,
-)  # fmt: skip
+    fleet=(1, 2),
+    fleet_servers=60,
+    starting=2,
+    outage=0.3,
+    storms=1,
+)
 
 
 @dataclass
@@ -75,15 +105,29 @@
     figures: list[Figure] = field(default_factory=list)
 
     def add(
-        self, name: str, size: int, value: float, unit: str, why: str, bound: float | None = None,
-        runs: Sequence[float] = (), calculated: bool = False, mechanism: str = "",
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        size: int,
+        value: float,
+        unit: str,
+        why: str,
+        bound: float | None = None,
+        runs: Sequence[float] = (),
+        calculated: bool = False,
+        mechanism: str = "",
+    ) -> None:
         """`runs`: the repeated runs of which `value` is the median, in its unit. The spread is half of the
         way from the least to the most."""
         figure: Figure = {
-            "name": name, "size": size, "value": round(float(value), 6), "unit": unit, "bound": bound,
-            "why": why, "calculated": calculated, "mechanism": mechanism,
-        }  # fmt: skip
+            "name": name,
+            "size": size,
+            "value": round(float(value), 6),
+            "unit": unit,
+            "bound": bound,
+            "why": why,
+            "calculated": calculated,
+            "mechanism": mechanism,
+        }
         if len(runs) > 1:
             figure["spread"] = round(float(max(runs) - min(runs)) / 2, 6)
         self.figures.append(figure)
--- a/scale/real/processes.py
+++ b/scale/real/processes.py
@@ -28,9 +28,16 @@
 
 def grade(name: str, semantics: str) -> dict[str, Any]:
     return {
-        "Aim": SECOND // 4, "Deadline": SECOND, "Group": "all", "LateShare": 0.0, "MemorySpan": 5 * SECOND,
-        "Name": name, "Semantics": semantics, "Stream": False, "Worth": 1.0,
-    }  # fmt: skip
+        "Aim": SECOND // 4,
+        "Deadline": SECOND,
+        "Group": "all",
+        "LateShare": 0.0,
+        "MemorySpan": 5 * SECOND,
+        "Name": name,
+        "Semantics": semantics,
+        "Stream": False,
+        "Worth": 1.0,
+    }
 
 
 def configuration(
@@ -40,28 +47,43 @@
     Classes after the first two are as the first, and never asked for."""
     settings = {
         "Contract": {
-            "AskWithin": 10 * SECOND, "Cold": 8 * SECOND, "ColdShare": 0.3, "StopSendingWithin": SECOND // 2,
+            "AskWithin": 10 * SECOND,
+            "Cold": 8 * SECOND,
+            "ColdShare": 0.3,
+            "StopSendingWithin": SECOND // 2,
         },
         "Feedback": {"Fields": [], "How": "none"},
         "Grades": [
-            grade("page", "repeatable"), grade("order", "once"),
+            grade("page", "repeatable"),
+            grade("order", "once"),
             *(grade(f"route-{number}", "repeatable") for number in range(classes - 2)),
         ],
-        "Kinds": ["m2"], "Zones": [f"z{zone}" for zone in range(ZONES)], "MyZone": 0,
+        "Kinds": ["m2"],
+        "Zones": [f"z{zone}" for zone in range(ZONES)],
+        "MyZone": 0,
         "Tenants": [{"Name": f"t-{number:06x}", "Share": 1 / tenants} for number in range(tenants)],
         "MembershipMode": "pushed",
         "Limits": {
-            "DialTimeout": SECOND // 4, "IdleClose": IDLE_CLOSE, "MaxRetryAfter": SECOND, "OpenCap": 20000,
-            "RetryAfter": True, "SendCap": 3,
+            "DialTimeout": SECOND // 4,
+            "IdleClose": IDLE_CLOSE,
+            "MaxRetryAfter": SECOND,
+            "OpenCap": 20000,
+            "RetryAfter": True,
+            "SendCap": 3,
         },
-        "PeersTotal": NODES, "WorthBy": "request",
-    }  # fmt: skip
+        "PeersTotal": NODES,
+        "WorthBy": "request",
+    }
     host, port = agent.address
     return {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": f"{host}:{port}", "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "settings": settings,
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": f"{host}:{port}",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+        "settings": settings,
         "known": {"version": agent.version if known else 0, "full": True, "servers": known},
-    }  # fmt: skip
+    }
 
 
 class NodeProcess:
@@ -130,9 +152,14 @@
         path.write_text(json.dumps(document))
         began = monotonic()
         process = await asyncio.create_subprocess_exec(
-            *ENDS_WITH_US, sys.executable, "-m", "moleport", cwd=ROOT,
-            env={**os.environ, "BALANCER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            *ENDS_WITH_US,
+            sys.executable,
+            "-m",
+            "moleport",
+            cwd=ROOT,
+            env={**os.environ, "BALANCER_CONFIG": str(path)},
+            stderr=asyncio.subprocess.PIPE,
+        )
         reading = None
         try:
             async with asyncio.timeout(START_WITHIN):
@@ -178,9 +205,14 @@
 async def servers(delay_ms: float) -> AsyncIterator[int]:
     """Stand-in servers with this service time; their port."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "scale.real.standins", str(delay_ms), cwd=ROOT,
-        stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "scale.real.standins",
+        str(delay_ms),
+        cwd=ROOT,
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+    )
     try:
         assert process.stdout is not None
         yield int(await asyncio.wait_for(process.stdout.readline(), START_WITHIN))
--- a/scale/real/requests.py
+++ b/scale/real/requests.py
@@ -89,11 +89,13 @@
             np.array(self.through["ms"])[chosen],
             np.array(self.direct["ms"])[self._chosen(self.direct, since, until)],
             float((status != 200).mean()) if len(status) else 1.0,
-            spent / number * 1e6, spent / (until.at - since.at),
+            spent / number * 1e6,
+            spent / (until.at - since.at),
             (until.waited - since.waited) / (until.at - since.at),
-            (until.seen["accepted"] - since.seen["accepted"]) / number, until.seen["open"],
+            (until.seen["accepted"] - since.seen["accepted"]) / number,
+            until.seen["open"],
             until.seen["addresses"],
-        )  # fmt: skip
+        )
 
     def _chosen(self, sample: Sample, since: Moment, until: Moment) -> Chosen:
         at = np.array(sample["at"]) + self.begin
@@ -135,9 +137,15 @@
             closed = await closed_loop(process, port, plan)
         rss = process.rss()
     return DataRun(
-        size, sockets, traffic.late_ms(), [traffic.stretch(*pair) for pair in pairwise(moments[:-2])],
-        traffic.stretch(moments[0], moments[-2]), traffic.stretch(moments[-2], moments[-1]), closed, rss,
-    )  # fmt: skip
+        size,
+        sockets,
+        traffic.late_ms(),
+        [traffic.stretch(*pair) for pair in pairwise(moments[:-2])],
+        traffic.stretch(moments[0], moments[-2]),
+        traffic.stretch(moments[-2], moments[-1]),
+        closed,
+        rss,
+    )
 
 
 async def open_loop(
@@ -231,29 +239,39 @@
         "quiet": (run.quiet, f"no change of the list; {dials}"),
         "mean_rate": ([run.mean], f"one change in {CHANGE_EVERY:.0f} s, the day's mean; {dials}"),
         "worst_minute": ([run.worst], worst),
-    }  # fmt: skip
+    }
     for condition, (phases, what) in conditions.items():
         waits = [100 * one.waited for one in phases]
         waited = f"it waited {max(waits):.1f}% of the time for a core"
         for name, part in PERCENTILES.items():
             report.median(
-                f"node.added_{name}.{condition}{tag}", size, [added(one, part) for one in phases], "ms",
+                f"node.added_{name}.{condition}{tag}",
+                size,
+                [added(one, part) for one in phases],
+                "ms",
                 f"{what}; {setup}; {waited}",
                 p99_bound(phases) if name == "p99" else None,
-            )  # fmt: skip
+            )
         report.median(
-            f"node.cpu.{condition}{tag}", size, [one.cpu_us for one in phases], "us/request",
+            f"node.cpu.{condition}{tag}",
+            size,
+            [one.cpu_us for one in phases],
+            "us/request",
             f"all of the node's processor time by its requests; {what}; {setup}",
-        )  # fmt: skip
+        )
         report.median(f"node.waited.{condition}{tag}", size, waits, "% of the time", WAITED)
         unserved = [100 * one.refused for one in phases]
         report.median(f"node.unserved.{condition}{tag}", size, unserved, "%", what)
     minute = added_over_a_minute(run)
     report.add(
-        f"node.added_p99.whole_worst_minute{tag}", size, minute, "ms",
-        f"{worst}, the rest of 60 s as without changes; {setup}", p99_bound([*run.quiet, run.worst]),
+        f"node.added_p99.whole_worst_minute{tag}",
+        size,
+        minute,
+        "ms",
+        f"{worst}, the rest of 60 s as without changes; {setup}",
+        p99_bound([*run.quiet, run.worst]),
         calculated=True,
-    )  # fmt: skip
+    )
     report_connections(report, run, idle, tag, setup)
     report_saturated(report, plan, run, tag)
 
@@ -261,24 +279,36 @@
 def report_connections(report: Report, run: DataRun, idle: float, tag: str, setup: str) -> None:
     size = run.size
     report.median(
-        f"node.cpu_above_idle.quiet{tag}", size, [one.cpu_us - idle / RATE * 1e6 for one in run.quiet],
-        "us/request", f"less what it takes without requests; {setup}",
-    )  # fmt: skip
+        f"node.cpu_above_idle.quiet{tag}",
+        size,
+        [one.cpu_us - idle / RATE * 1e6 for one in run.quiet],
+        "us/request",
+        f"less what it takes without requests; {setup}",
+    )
     report.median(
-        f"node.dials{tag}", size, [one.dials for one in run.quiet], "dials/request",
+        f"node.dials{tag}",
+        size,
+        [one.dials for one in run.quiet],
+        "dials/request",
         f"opened for a request; servers close what is idle for {IDLE_CLOSE // SECOND} s, and the node has "
         f"45% of its descriptors for servers; {UNSUBSET}; {setup}",
-    )  # fmt: skip
+    )
     rates = [one.dials * RATE for one in run.quiet]
     report.median(f"node.dial_rate{tag}", size, rates, "dials/s", "dials by request times the rate")
     report.median(
-        f"node.connections{tag}", size, [one.connections for one in run.quiet], "connections",
+        f"node.connections{tag}",
+        size,
+        [one.connections for one in run.quiet],
+        "connections",
         f"to servers, held at once; of {run.sockets} descriptors the node keeps 45% for servers",
-    )  # fmt: skip
+    )
     report.add(
-        f"node.servers_met{tag}", size, run.quiet[-1].met, "servers",
+        f"node.servers_met{tag}",
+        size,
+        run.quiet[-1].met,
+        "servers",
         "distinct ones that got a request before the first change; keys go to the node's own zone first",
-    )  # fmt: skip
+    )
 
 
 def report_saturated(report: Report, plan: Plan, run: DataRun, tag: str) -> None:
--- a/scale/real/standins.py
+++ b/scale/real/standins.py
@@ -31,9 +31,15 @@
     """The listed server of this number: an address of its own within 127.0.0.0/8, zones in turn."""
     address = f"127.{10 + (index >> 16)}.{index >> 8 & 255}.{index & 255}:{port}"
     return {
-        "id": f"s-{index:08x}", "addr": address, "zone": f"z{index % ZONES}", "kind": "m2",
-        "cell": index % ZONES, "state": state, "weight": 1.0, "started_ms": 0,
-    }  # fmt: skip
+        "id": f"s-{index:08x}",
+        "addr": address,
+        "zone": f"z{index % ZONES}",
+        "kind": "m2",
+        "cell": index % ZONES,
+        "state": state,
+        "weight": 1.0,
+        "started_ms": 0,
+    }
 
 
 def list_document(version: int, full: bool, entries: list[Entry]) -> Entry:
--- a/scale/world.py
+++ b/scale/world.py
@@ -77,10 +77,19 @@
     return api.Settings(
         classes=tuple(_request_class(index) for index in range(classes)),
         tenants=tuple(api.Tenant(1.0 / tenants) for _ in range(tenants)),
-        nodes=nodes, list_mode=api.ListMode.PUSHED, ask_within=10 * SECOND,
-        cold_share=COLD_SHARE, cold_time=COLD_TIME, max_attempts=3, max_retry_after=1_200 * MS,
-        retry_after=True, worth_by_work=False, report_fields=(), idle_close=15 * SECOND, zone=own_zone,
-    )  # fmt: skip
+        nodes=nodes,
+        list_mode=api.ListMode.PUSHED,
+        ask_within=10 * SECOND,
+        cold_share=COLD_SHARE,
+        cold_time=COLD_TIME,
+        max_attempts=3,
+        max_retry_after=1_200 * MS,
+        retry_after=True,
+        worth_by_work=False,
+        report_fields=(),
+        idle_close=15 * SECOND,
+        zone=own_zone,
+    )
 
 
 def _request_class(index: int) -> api.RequestClass:
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -36,26 +36,45 @@
 
 def request_class(name: str, semantics: str) -> dict[str, Any]:
     return {
-        "Aim": 1500 * MS, "Deadline": 2500 * MS, "Group": "all", "LateShare": 0.2, "MemorySpan": 1000 * MS,
-        "Name": name, "Semantics": semantics, "Stream": False, "Worth": 1.0,
-    }  # fmt: skip
+        "Aim": 1500 * MS,
+        "Deadline": 2500 * MS,
+        "Group": "all",
+        "LateShare": 0.2,
+        "MemorySpan": 1000 * MS,
+        "Name": name,
+        "Semantics": semantics,
+        "Stream": False,
+        "Worth": 1.0,
+    }
 
 
 def configuration(nodes: int) -> dict[str, Any]:
     settings = {
         "Contract": {
-            "AskWithin": 10_000 * MS, "Cold": 1500 * MS, "ColdShare": 0.4, "StopSendingWithin": 500 * MS,
+            "AskWithin": 10_000 * MS,
+            "Cold": 1500 * MS,
+            "ColdShare": 0.4,
+            "StopSendingWithin": 500 * MS,
             "FallMultiple": 4.0,
         },
         "Feedback": {"Fields": [], "How": "none"},
         "Grades": [request_class("page", "repeatable"), request_class("order", "once")],
-        "Kinds": ["box"], "Zones": ["a", "b"], "Tenants": [], "MembershipMode": "pushed", "MyZone": 0,
+        "Kinds": ["box"],
+        "Zones": ["a", "b"],
+        "Tenants": [],
+        "MembershipMode": "pushed",
+        "MyZone": 0,
         "Limits": {
-            "DialTimeout": 500 * MS, "IdleClose": 3000 * MS, "MaxRetryAfter": 300 * MS, "OpenCap": 2000,
-            "RetryAfter": True, "SendCap": 3,
+            "DialTimeout": 500 * MS,
+            "IdleClose": 3000 * MS,
+            "MaxRetryAfter": 300 * MS,
+            "OpenCap": 2000,
+            "RetryAfter": True,
+            "SendCap": 3,
         },
-        "PeersTotal": nodes, "WorthBy": "request",
-    }  # fmt: skip
+        "PeersTotal": nodes,
+        "WorthBy": "request",
+    }
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": 256}
     return {"seed": "8c1f30d27a5be964", "limits": limits, "settings": settings}
 
@@ -83,9 +102,15 @@
     def _entry(self, proxy: FaultProxy) -> dict[str, Any]:
         server = proxy.server
         return {
-            "id": server.name, "addr": f"127.0.0.1:{proxy.port}", "zone": "ab"[proxy.port % 2], "kind": "box",
-            "cell": 0, "state": server.state, "weight": 1.0, "started_ms": server.started_ms,
-        }  # fmt: skip
+            "id": server.name,
+            "addr": f"127.0.0.1:{proxy.port}",
+            "zone": "ab"[proxy.port % 2],
+            "kind": "box",
+            "cell": 0,
+            "state": server.state,
+            "weight": 1.0,
+            "started_ms": server.started_ms,
+        }
 
     def _publish(self, proxy: FaultProxy) -> None:
         self._version += 1
@@ -251,9 +276,12 @@
     def report(self) -> dict[str, Any]:
         statuses = Counter(str(asked.status) for asked in self.record.asked.values() if asked.left is None)
         return {
-            "requests": len(self.record.asked), "statuses": dict(statuses), "troubles": dict(self.troubles),
-            "attempts": sum(map(len, self.record.attempts.values())), "slack": round(self.record.slack, 3),
-        }  # fmt: skip
+            "requests": len(self.record.asked),
+            "statuses": dict(statuses),
+            "troubles": dict(self.troubles),
+            "attempts": sum(map(len, self.record.attempts.values())),
+            "slack": round(self.record.slack, 3),
+        }
 
 
 def _tell_of_fault(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
--- a/soak/nodes.py
+++ b/soak/nodes.py
@@ -64,7 +64,10 @@
         environment = {**os.environ, "BALANCER_CONFIG": str(self._path), "BALANCER_TRACE": "1"}
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                *self.faults.command(), cwd=ROOT, env=environment, stderr=log,
+                *self.faults.command(),
+                cwd=ROOT,
+                env=environment,
+                stderr=log,
                 stdout=asyncio.subprocess.DEVNULL,
             )
         end = time.monotonic() + READY_WITHIN
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -26,7 +26,6 @@
 KEYS = 5000
 
 
-
 @dataclass
 class Plan:
     """One run. Rates and capacities are in requests of mean work."""
@@ -84,9 +83,12 @@
                 api.RequestClass(plan.aims[0], 3.0, 0.0, api.Repeat.SAFE),
                 api.RequestClass(plan.aims[1], 9.0, 0.0, api.Repeat.UNSAFE),
             ),
-            nodes=plan.nodes, cold_share=plan.cold_share, cold_time=plan.cold_time,
-            max_attempts=3, fall_multiple=plan.fall_multiple,
-        )  # fmt: skip
+            nodes=plan.nodes,
+            cold_share=plan.cold_share,
+            cold_time=plan.cold_time,
+            max_attempts=3,
+            fall_multiple=plan.fall_multiple,
+        )
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
         self.served = self.asked = 0
@@ -280,6 +282,9 @@
     excesses = [fleet.excess(server) for server in cold]
     used = sum(fleet.used(server, until) for server in cold) / len(cold)
     return Report(
-        max(excesses), sum(one > 1.0 for one in excesses), len(cold), used,
+        max(excesses),
+        sum(one > 1.0 for one in excesses),
+        len(cold),
+        used,
         (fleet.served - served) / (fleet.asked - asked),
-    )  # fmt: skip
+    )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -129,9 +129,15 @@
 
     def entry(self) -> dict[str, Any]:
         return {
-            "id": self.name, "addr": self.address, "zone": "room", "kind": "box", "cell": 0,
-            "state": self.state, "weight": 1.0, "started_ms": self.started_ms,
-        }  # fmt: skip
+            "id": self.name,
+            "addr": self.address,
+            "zone": "room",
+            "kind": "box",
+            "cell": 0,
+            "state": self.state,
+            "weight": 1.0,
+            "started_ms": self.started_ms,
+        }
 
 
 class Discovery:
@@ -191,32 +197,51 @@
 
 def grade(name: str, semantics: str, deadline_ms: int = 10_000, aim_ms: int = 10_000) -> dict[str, Any]:
     return {
-        "Aim": aim_ms * 10**6, "Deadline": deadline_ms * 10**6, "Group": "all", "LateShare": 0.0,
-        "MemorySpan": 5 * 10**9, "Name": name, "Semantics": semantics, "Stream": False, "Worth": 1.0,
-    }  # fmt: skip
+        "Aim": aim_ms * 10**6,
+        "Deadline": deadline_ms * 10**6,
+        "Group": "all",
+        "LateShare": 0.0,
+        "MemorySpan": 5 * 10**9,
+        "Name": name,
+        "Semantics": semantics,
+        "Stream": False,
+        "Worth": 1.0,
+    }
 
 
 SETTINGS: dict[str, Any] = {
     "Contract": {"AskWithin": 10**10, "Cold": 10**9, "ColdShare": 0.5, "StopSendingWithin": 5 * 10**8},
     "Feedback": {"Fields": ["load_share", "depth"], "How": "answers"},
     "Grades": [grade("page", "repeatable"), grade("order", "once")],
-    "Kinds": ["box"], "Zones": ["room"], "Tenants": [], "MembershipMode": "on_request",
+    "Kinds": ["box"],
+    "Zones": ["room"],
+    "Tenants": [],
+    "MembershipMode": "on_request",
     "Limits": {
-        "DialTimeout": 5 * 10**9, "IdleClose": 30 * 10**9, "MaxRetryAfter": 1_500_000_000, "OpenCap": 20000,
-        "RetryAfter": True, "SendCap": 5,
+        "DialTimeout": 5 * 10**9,
+        "IdleClose": 30 * 10**9,
+        "MaxRetryAfter": 1_500_000_000,
+        "OpenCap": 20000,
+        "RetryAfter": True,
+        "SendCap": 5,
     },
-    "PeersTotal": 1, "WorthBy": "request",
-}  # fmt: skip
+    "PeersTotal": 1,
+    "WorthBy": "request",
+}
 
 
 def configuration(*servers: Server, discovery: str = "127.0.0.1:9", **limits: Any) -> dict[str, Any]:
     settings = copy.deepcopy(SETTINGS)
     settings["Limits"].update(limits)
     return {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings,
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": discovery,
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": settings,
         "known": {"version": 7, "full": True, "servers": [server.entry() for server in servers]},
-    }  # fmt: skip
+    }
 
 
 class Spy:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -112,7 +112,8 @@
     server = forward[16:22]
     assert server in SERVERS
     done = run(
-        start() + batch(select(0), inbound(99, key=5))
+        start()
+        + batch(select(0), inbound(99, key=5))
         + batch(select(0), finished(99, server, 301, (12.0, 0.5)), clock=CLOCK + 1)
     )
     assert done.returncode == 0
@@ -130,23 +131,27 @@
     assert b"not attached" in done.stderr
 
 
-@pytest.mark.parametrize(("data", "named"), [
-    (b"\x0c\x00", "length field"),
-    (start()[:-3], "truncated frame"),
-    (batch(b"\xc8"), "event code 200"),
-    (batch(select(0))[:4] + b"\x00", "truncated frame"),
-    (struct.pack("<I", 3) + b"abc", "too few"),
-    (struct.pack("<IQI", 12, CLOCK, 2), "2 records announced"),
-    (struct.pack("<IQI", 15, CLOCK, 0) + select(0), "follow the last record"),
-    (batch(struct.pack("<BQ", 7, 1)), "cut short"),
-    (batch(inbound(1)), "before any SELECT"),
-    (batch(select(4), inbound(1)), "not attached"),
-    (batch(select(0), attach(), sync()), "list number"),
-    (batch(select(0), attach(), roster(SERVERS, state=9), sync()), "server state 9"),
-    (start() + batch(select(0), finished(1, SERVERS[0], 999)), "outcome 999"),
-    (start() + batch(select(0), sync(mode=7)), "list kind 7"),
-    (start() + batch(select(0), inbound(1, category=9)), "class 9"),
-], ids=lambda value: value if isinstance(value, str) else "")  # fmt: skip
+@pytest.mark.parametrize(
+    ("data", "named"),
+    [
+        (b"\x0c\x00", "length field"),
+        (start()[:-3], "truncated frame"),
+        (batch(b"\xc8"), "event code 200"),
+        (batch(select(0))[:4] + b"\x00", "truncated frame"),
+        (struct.pack("<I", 3) + b"abc", "too few"),
+        (struct.pack("<IQI", 12, CLOCK, 2), "2 records announced"),
+        (struct.pack("<IQI", 15, CLOCK, 0) + select(0), "follow the last record"),
+        (batch(struct.pack("<BQ", 7, 1)), "cut short"),
+        (batch(inbound(1)), "before any SELECT"),
+        (batch(select(4), inbound(1)), "not attached"),
+        (batch(select(0), attach(), sync()), "list number"),
+        (batch(select(0), attach(), roster(SERVERS, state=9), sync()), "server state 9"),
+        (start() + batch(select(0), finished(1, SERVERS[0], 999)), "outcome 999"),
+        (start() + batch(select(0), sync(mode=7)), "list kind 7"),
+        (start() + batch(select(0), inbound(1, category=9)), "class 9"),
+    ],
+    ids=lambda value: value if isinstance(value, str) else "",
+)
 def test_bad_frames_end_the_adapter_with_one_plain_message(data: bytes, named: str) -> None:
     done = run(data)
     message = done.stderr.decode()
@@ -170,10 +175,18 @@
     assert adapter.read_settings(CONFIG + "Contract.FallMultiple=4.0\n").fall_multiple == 4.0
 
 
-@pytest.mark.parametrize(("path", "value"), [
-    ("Grades.0.Aim", "soon"), ("Grades.0.Semantics", "sometimes"), ("Contract.ColdShare", "nan"),
-    ("Limits.RetryAfter", "perhaps"), ("Grades.count", "-1"), ("PeersTotal", "0"), ("Grades.0.Aim", "0"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("path", "value"),
+    [
+        ("Grades.0.Aim", "soon"),
+        ("Grades.0.Semantics", "sometimes"),
+        ("Contract.ColdShare", "nan"),
+        ("Limits.RetryAfter", "perhaps"),
+        ("Grades.count", "-1"),
+        ("PeersTotal", "0"),
+        ("Grades.0.Aim", "0"),
+    ],
+)
 def test_an_unreadable_setting_ends_the_adapter_and_is_named(path: str, value: str) -> None:
     config = re.sub(rf"(?m)^{re.escape(path)}=.*$", f"{path}={value}", CONFIG)
     done = run(batch(select(0), attach(config), roster(SERVERS), sync()))
@@ -182,10 +195,14 @@
     assert done.stderr.count(b"\n") == 1
 
 
-@pytest.mark.parametrize(("path", "value", "named"), [
-    ("Contract.ColdShare", "1.5", "cold_share"), ("Grades.0.LateShare", "2.0", "late_worth"),
-    ("Grades.count", "0", "classes"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("path", "value", "named"),
+    [
+        ("Contract.ColdShare", "1.5", "cold_share"),
+        ("Grades.0.LateShare", "2.0", "late_worth"),
+        ("Grades.count", "0", "classes"),
+    ],
+)
 def test_settings_out_of_range_end_the_adapter_with_one_line(path: str, value: str, named: str) -> None:
     config = re.sub(rf"(?m)^{re.escape(path)}=.*$", f"{path}={value}", CONFIG)
     done = run(batch(select(0), attach(config), roster(SERVERS), sync()))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -296,9 +296,7 @@
 
 def test_a_surging_tenant_stops_short_and_the_others_do_not() -> None:
     node = Node(one_class(tenants=(api.Tenant(0.5), api.Tenant(0.5))), servers=6)
-    surge = [
-        node.tell(api.Request(5000 + n, SECOND, 0, 0, 100 + n, False))[0] for n in range(60)
-    ]
+    surge = [node.tell(api.Request(5000 + n, SECOND, 0, 0, 100 + n, False))[0] for n in range(60)]
     assert sum(isinstance(action, api.Send) for action in surge) == 41
     assert isinstance(node.tell(api.Request(6000, SECOND, 0, 1, 3, False))[0], api.Send)
 
@@ -1077,18 +1075,21 @@
     assert node.balancer._backends[send.server].busy == 0.9
 
 
-@pytest.mark.parametrize(("field", "make"), [
-    ("aim", lambda: api.RequestClass(0, 1.0, 0.0, api.Repeat.SAFE)),
-    ("late_worth", lambda: api.RequestClass(1, 1.0, 1.5, api.Repeat.SAFE)),
-    ("window", lambda: api.RequestClass(1, 1.0, 0.0, api.Repeat.SAFE, window=-1)),
-    ("share", lambda: api.Tenant(1.5)),
-    ("classes", lambda: settings(classes=())),
-    ("cold_share", lambda: settings(cold_share=-0.1)),
-    ("cold_time", lambda: settings(cold_time=-1)),
-    ("fall_multiple", lambda: settings(fall_multiple=-1.0)),
-    ("nodes", lambda: settings(nodes=0)),
-    ("key_rest", lambda: settings(key_rest=-1)),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("field", "make"),
+    [
+        ("aim", lambda: api.RequestClass(0, 1.0, 0.0, api.Repeat.SAFE)),
+        ("late_worth", lambda: api.RequestClass(1, 1.0, 1.5, api.Repeat.SAFE)),
+        ("window", lambda: api.RequestClass(1, 1.0, 0.0, api.Repeat.SAFE, window=-1)),
+        ("share", lambda: api.Tenant(1.5)),
+        ("classes", lambda: settings(classes=())),
+        ("cold_share", lambda: settings(cold_share=-0.1)),
+        ("cold_time", lambda: settings(cold_time=-1)),
+        ("fall_multiple", lambda: settings(fall_multiple=-1.0)),
+        ("nodes", lambda: settings(nodes=0)),
+        ("key_rest", lambda: settings(key_rest=-1)),
+    ],
+)
 def test_impossible_settings_are_refused_by_name(field: str, make: Callable[[], object]) -> None:
     with pytest.raises(ValueError, match=field):
         make()
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -86,10 +86,13 @@
     for count in (100, 3000):
         node = fleet(count, zone=0)
         changes = [
-            in_zones(count), in_zones(count + 9)._replace(started=node.now),
-            in_zones(9)._replace(state=ServerState.DRAINING), in_zones(18)._replace(state=ServerState.GONE),
-            in_zones(27)._replace(weight=2.0), in_zones(9),
-        ]  # fmt: skip
+            in_zones(count),
+            in_zones(count + 9)._replace(started=node.now),
+            in_zones(9)._replace(state=ServerState.DRAINING),
+            in_zones(18)._replace(state=ServerState.GONE),
+            in_zones(27)._replace(weight=2.0),
+            in_zones(9),
+        ]
         costs[count] = [operations(lambda node=node, one=one: node.tell(delta(one))) for one in changes]
     assert max(max(of_one) for of_one in costs.values()) < 5000
 
@@ -127,11 +130,14 @@
     root = Path(__file__).parent.parent
     said = [
         subprocess.run(
-            [sys.executable, "-c", program], capture_output=True, check=True, text=True,
+            [sys.executable, "-c", program],
+            capture_output=True,
+            check=True,
+            text=True,
             env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": f"{root}:{root / 'tests'}"},
         ).stdout
         for seed in ("1", "2")
-    ]  # fmt: skip
+    ]
     assert said[0] == said[1]
 
 
@@ -150,11 +156,17 @@
     assert got[True] / 4000 == pytest.approx(own + (1 - own) * 50 / 850, abs=0.03)
 
 
-@pytest.mark.parametrize("weights", [
-    (0.0, -1.0, float("inf"), float("nan")), (5e-324, 1e-9, 1.0, 1e9, 1.7e308), (5e-324,), (1e308, 1e308),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "weights",
+    [
+        (0.0, -1.0, float("inf"), float("nan")),
+        (5e-324, 1e-9, 1.0, 1e9, 1.7e308),
+        (5e-324,),
+        (1e308, 1e308),
+    ],
+)
 def test_weights_that_make_no_sense_crash_nothing_and_leave_all_servers_keys_or_trials(
-    weights: tuple[float, ...]
+    weights: tuple[float, ...],
 ) -> None:
     node = Node(settings(zone=0, report_fields=("utilization",)), servers=0)
     node.tell(whole(*(server(n)._replace(weight=weights[n % len(weights)], kind=n % 2) for n in range(24))))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -35,10 +35,16 @@
         ):
             client = await rig.client()
             sent = request(
-                "order", target="/api?a=b&c=%20d", body=b"\x00subtitle\xff", X_Deadline="1500000u",
-                Idempotency_Key="5c0f", X_Key="7f3a", X_Retry="1", Accept="image/png",
+                "order",
+                target="/api?a=b&c=%20d",
+                body=b"\x00subtitle\xff",
+                X_Deadline="1500000u",
+                Idempotency_Key="5c0f",
+                X_Key="7f3a",
+                X_Retry="1",
+                Accept="image/png",
                 X_Request_Id="9b1f03aa5c7e2d41",
-            )  # fmt: skip
+            )
             got = await client.ask(sent)
             assert (got.body, got.headers["content-type"]) == (b"frame", "image/png")
             (seen,) = server.seen
@@ -237,7 +243,8 @@
             writer.write(answer(503, X_Not_Run="1"))
 
         async with (
-            Server("s-1", turns_away) as one, Server("s-2", turns_away) as two,
+            Server("s-1", turns_away) as one,
+            Server("s-2", turns_away) as two,
             Rig(configuration(one, two)) as rig,
         ):
             client = await rig.client()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -22,9 +22,20 @@
     """Servers come back in steps under the load of all, and turn away what they can't queue. Some nodes are
     new when they do."""
     small = Plan(
-        nodes, 20, utilisation, *limits, lost, cores=2, capacity=30.0, queued=2, restarted=0.2,
-        steps=5, step_time=750 * MS, warm_up=4 * SECOND, watched=SECOND,
-    )  # fmt: skip
+        nodes,
+        20,
+        utilisation,
+        *limits,
+        lost,
+        cores=2,
+        capacity=30.0,
+        queued=2,
+        restarted=0.2,
+        steps=5,
+        step_time=750 * MS,
+        warm_up=4 * SECOND,
+        watched=SECOND,
+    )
     if nodes < 100:
         return small
     return replace(small, servers=20, capacity=20.0, cores=1, warm_up=3 * SECOND, steps=4, watched=SECOND)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -322,7 +322,8 @@
 
     async def test() -> None:
         async with (
-            Server("s-1", turns_away) as one, Server("s-2", turns_away) as two,
+            Server("s-1", turns_away) as one,
+            Server("s-2", turns_away) as two,
             Rig(configuration(one, two)) as rig,
         ):
             client = await rig.client()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -158,8 +158,10 @@
 
     async def test() -> None:
         async with (
-            Server("s-1", resets) as one, Server("s-2", resets) as two, Rig(configuration(one, two)) as rig,
-        ):  # fmt: skip
+            Server("s-1", resets) as one,
+            Server("s-2", resets) as two,
+            Rig(configuration(one, two)) as rig,
+        ):
             (known,) = rig.spy.lists(api.ListKind.CACHED)
 
             def decide(event: api.Event) -> list[api.Action] | None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,10 @@
 def test_first_line_changes_and_whole_lists_are_told_in_order() -> None:
     async def test() -> None:
         async with (
-            Discovery() as source, Server("s-1") as one, Server("s-2") as two, Server("s-3") as older,
+            Discovery() as source,
+            Server("s-1") as one,
+            Server("s-2") as two,
+            Server("s-3") as older,
             Rig(configuration(one, discovery=source.address)) as rig,
         ):
             assert [len(told.servers) for told in rig.spy.lists(ListKind.CACHED)] == [1]
@@ -74,7 +77,9 @@
 
     async def test() -> None:
         async with (
-            Discovery() as source, Server('s-"{') as one, Server("s-\\") as two,
+            Discovery() as source,
+            Server('s-"{') as one,
+            Server("s-\\") as two,
             Rig(configuration(discovery=source.address)) as rig,
         ):
             rig.watch()
@@ -140,8 +145,13 @@
 @pytest.mark.parametrize(
     "line",
     [
-        b"not json\n", b"[]\n", b'{"version":9}\n', b'{"version":9,"full":false,"servers":[{"id":"s-3"}]}\n',
-        b'{"version":3,"full":false,"servers":[]}\n', b"[" * 100_000 + b"\n", b"\xff\xfe\n",
+        b"not json\n",
+        b"[]\n",
+        b'{"version":9}\n',
+        b'{"version":9,"full":false,"servers":[{"id":"s-3"}]}\n',
+        b'{"version":3,"full":false,"servers":[]}\n',
+        b"[" * 100_000 + b"\n",
+        b"\xff\xfe\n",
         b'{"version":9,"servers":[{"id":"s-3","addr":"host:80","state":"Ready"}]}\n',
         b'{"version":9,"servers":[{"id":"s-3","addr":"10.0.0.1:99999","state":"Ready"}]}\n',
         b'{"version":9,"servers":[{"id":"s-3","addr":"10.0.0.1:80","state":"Asleep"}]}\n',
@@ -149,11 +159,12 @@
         b'{"version":9,"servers":[{"id":["s-3"],"addr":"10.0.0.1:80","state":"Ready"}]}\n',
         b'{"version":9,"servers":[{"id":"s-3","addr":"10.0.0.1:80","state":"Ready","cell":Infinity}]}\n',
     ],
-)  # fmt: skip
+)
 def test_a_bad_line_is_one_failure_and_the_old_list_stays(line: bytes) -> None:
     async def test() -> None:
         async with (
-            Discovery() as source, Server("s-1") as server,
+            Discovery() as source,
+            Server("s-1") as server,
             Rig(configuration(server, discovery=source.address)) as rig,
         ):
             rig.watch()
@@ -173,7 +184,9 @@
 
     async def test() -> None:
         async with (
-            Discovery() as source, Server("s-1") as one, Server("s-2") as two,
+            Discovery() as source,
+            Server("s-1") as one,
+            Server("s-2") as two,
             Rig(configuration(one, two, discovery=source.address)) as rig,
         ):
             rig.watch()
@@ -219,7 +232,9 @@
 
     async def test() -> None:
         async with (
-            Discovery() as source, Server("s-1") as one, Server("s-2") as two,
+            Discovery() as source,
+            Server("s-1") as one,
+            Server("s-2") as two,
             Rig(configuration(one, discovery=source.address)) as rig,
         ):
             rig.watch()
@@ -371,7 +386,9 @@
 def test_a_moved_watch_is_a_failure_only_if_the_new_one_fails() -> None:
     async def test() -> None:
         async with (
-            Discovery() as old, Discovery() as new, Server("s-1") as server,
+            Discovery() as old,
+            Discovery() as new,
+            Server("s-1") as server,
             Rig(configuration(server, discovery=old.address)) as rig,
         ):
             rig.watch()
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -78,7 +78,8 @@
 
     async def test() -> None:
         async with (
-            Discovery() as source, Server("s-0") as server,
+            Discovery() as source,
+            Server("s-0") as server,
             Rig(knowing(entries(range(100), server.address), source)) as rig,
         ):
             rig.watch()
@@ -141,10 +142,12 @@
         async with Rig(knowing(entries(range(MANY)))) as rig:
             drains = {"state": "Terminating"}
             found = (
-                entries(range(MANY, MANY + 1000)) + entries(range(1000), weight=2.0)
-                + entries(range(1000, 2000)) + entries(range(2000, 2100), **drains)
+                entries(range(MANY, MANY + 1000))
+                + entries(range(1000), weight=2.0)
+                + entries(range(1000, 2000))
+                + entries(range(2000, 2100), **drains)
                 + entries(range(2200, MANY))
-            )  # fmt: skip
+            )
             rig.node._list_came(update(found))
             assert not rig.node._ready & ids(range(2000, 2200))
             assert not ready_in_module(rig) & ids(range(2000, 2200))
@@ -196,10 +199,12 @@
 
     def drawn(number: int) -> dict[str, Any]:
         (found,) = entries(
-            [number], f"127.0.0.1:{random.randrange(2, 5)}", weight=random.choice((1.0, 2.0)),
+            [number],
+            f"127.0.0.1:{random.randrange(2, 5)}",
+            weight=random.choice((1.0, 2.0)),
             state=random.choices(("Ready", "Terminating", "Gone"), (8, 1, 1))[0],
             started_ms=random.choice((0, 1_700_000_000_000)),
-        )  # fmt: skip
+        )
         return found
 
     async def test() -> None:
@@ -237,7 +242,8 @@
 def test_a_list_that_shrinks_to_nothing_and_comes_back_serves_again() -> None:
     async def test() -> None:
         async with (
-            Discovery() as source, Server("s-0") as server,
+            Discovery() as source,
+            Server("s-0") as server,
             Rig(knowing(entries(range(3), server.address), source)) as rig,
         ):
             rig.watch()
@@ -260,11 +266,14 @@
 @pytest.mark.parametrize(
     ("first", "second"),
     [
-        ({"weight": 2.0}, {"weight": 3.0}), ({"addr": "127.0.0.1:7"}, {"addr": "127.0.0.1:8"}),
-        ({"state": "Terminating"}, {}), ({}, {"state": "Terminating"}), ({"state": "Gone"}, {}),
+        ({"weight": 2.0}, {"weight": 3.0}),
+        ({"addr": "127.0.0.1:7"}, {"addr": "127.0.0.1:8"}),
+        ({"state": "Terminating"}, {}),
+        ({}, {"state": "Terminating"}),
+        ({"state": "Gone"}, {}),
         ({}, {"state": "Gone"}),
     ],
-)  # fmt: skip
+)
 def test_of_two_entries_with_one_id_the_later_holds_for_module_and_pools(
     first: dict[str, Any], second: dict[str, Any], full: bool, more: int
 ) -> None:
@@ -300,9 +309,13 @@
 
 
 BAD = [
-    {"addr": "host:80"}, {"state": "Asleep"}, {"addr": None}, {"cell": "x"}, {"weight": []},
+    {"addr": "host:80"},
+    {"state": "Asleep"},
+    {"addr": None},
+    {"cell": "x"},
+    {"weight": []},
     {"started_ms": {}},
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("bad", BAD)
@@ -315,7 +328,8 @@
 
     async def test() -> None:
         async with (
-            Discovery() as source, Server("s-0") as server,
+            Discovery() as source,
+            Server("s-0") as server,
             Rig(knowing(entries(range(10), server.address), source)) as rig,
         ):
             rig.watch()
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -89,7 +89,7 @@
         (says(answer() + b"\x00noise"), Result.OK, 200),
         (says(answer(body=b"x" * 65537)), Result.ERROR, 502),
     ],
-)  # fmt: skip
+)
 def test_each_outcome(script: Script, result: Result, expected: int) -> None:
     async def test() -> None:
         async with Server("s-1", script) as server, Rig(configuration(server)) as rig:
@@ -476,7 +476,8 @@
 def test_a_failed_attempt_is_followed_by_one_at_the_other_server() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(b"", abort=True)) as bad, Server("s-2") as good,
+            Server("s-1", says(b"", abort=True)) as bad,
+            Server("s-2") as good,
             Rig(configuration(bad, good)) as rig,
         ):
             client = await rig.client()
@@ -492,7 +493,8 @@
 def test_a_request_that_a_server_rejects_is_not_sent_to_the_others_nor_blamed_on_it() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(answer(400))) as one, Server("s-2", says(answer(400))) as other,
+            Server("s-1", says(answer(400))) as one,
+            Server("s-2", says(answer(400))) as other,
             Rig(configuration(one, other)) as rig,
         ):
             for _ in range(5):
@@ -505,10 +507,18 @@
     run(test())
 
 
-@pytest.mark.parametrize("load", [
-    "load_share=nan,depth=0", "load_share=1e999,depth=0", "load_share=-1,depth=0", "load_share",
-    "load_share=0.5", "\xff", "load_share=0.5,depth=1," + "x" * 2000,
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "load",
+    [
+        "load_share=nan,depth=0",
+        "load_share=1e999,depth=0",
+        "load_share=-1,depth=0",
+        "load_share",
+        "load_share=0.5",
+        "\xff",
+        "load_share=0.5,depth=1," + "x" * 2000,
+    ],
+)
 def test_a_load_report_that_is_none_is_left_out(load: str) -> None:
     async def test() -> None:
         async with Server("s-1", says(answer(X_Load=load))) as server, Rig(configuration(server)) as rig:
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -45,9 +45,16 @@
 
 
 CONNECT_FAILURES = (
-    "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL", "ENETDOWN", "EPERM", "ENETUNREACH",
+    "EMFILE",
+    "ENFILE",
+    "ENOBUFS",
+    "ENOMEM",
+    "EADDRNOTAVAIL",
+    "ENETDOWN",
+    "EPERM",
+    "ENETUNREACH",
     "EHOSTUNREACH",
-)  # fmt: skip
+)
 ONCE = says(answer(Connection="close"))  # each request needs a dial
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -54,9 +54,12 @@
 
 
 async def start(
-    path: Path, code: str = "", env: Mapping[str, str] = os.environ, command: Sequence[str] = (),
+    path: Path,
+    code: str = "",
+    env: Mapping[str, str] = os.environ,
+    command: Sequence[str] = (),
     **options: Any,
-) -> asyncio.subprocess.Process:  # fmt: skip
+) -> asyncio.subprocess.Process:
     environment = {**env, "BALANCER_CONFIG": str(path)}
     program = command or [sys.executable, *(("-c", code) if code else ("-m", "moleport"))]
     return await asyncio.create_subprocess_exec(
@@ -112,9 +115,14 @@
     assert not [path for path in sources if not Path(cache_from_source(str(path))).exists()]
     start = "import runpy; runpy.run_module('moleport')"  # as `-m` does, but ends once all is imported
     verbose = subprocess.run(
-        [sys.executable, "-v", "-c", start], cwd=tmp_path, timeout=PATIENCE, capture_output=True, text=True,
-        env=os.environ | {"PYTHONDONTWRITEBYTECODE": "1"}, check=True,
-    ).stderr  # fmt: skip
+        [sys.executable, "-v", "-c", start],
+        cwd=tmp_path,
+        timeout=PATIENCE,
+        capture_output=True,
+        text=True,
+        env=os.environ | {"PYTHONDONTWRITEBYTECODE": "1"},
+        check=True,
+    ).stderr
     loaded = re.findall(r"^# code object from '?(.+?)'?$", verbose, re.MULTILINE)
     assert sum(path.startswith(str(tmp_path)) for path in loaded) >= 8
     assert not [path for path in loaded if not path.endswith(".pyc")]
@@ -230,7 +238,10 @@
 
     async def test() -> None:
         async with (
-            Discovery() as old, Discovery() as new, Server("s-1", waits) as server, Server("s-2") as later,
+            Discovery() as old,
+            Discovery() as new,
+            Server("s-1", waits) as server,
+            Server("s-2") as later,
         ):
             document = configuration(server, discovery=old.address)
             environment = {**os.environ, "BALANCER_DISCOVERY": old.address}
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -82,9 +82,14 @@
         self._begun = asyncio.get_running_loop().time()
         with open(self._folder / "log", "ab") as log:
             self._process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "moleport", cwd=ROOT, stderr=log, preexec_fn=pin,
+                sys.executable,
+                "-m",
+                "moleport",
+                cwd=ROOT,
+                stderr=log,
+                preexec_fn=pin,
                 env={**os.environ, "BALANCER_CONFIG": str(self._folder / "config.json")},
-            )  # fmt: skip
+            )
 
     async def ready(self) -> float:
         """Waits until `/up` says so; returns the seconds since the start."""
--- a/tests/test_recorded_events.py
+++ b/tests/test_recorded_events.py
@@ -28,17 +28,25 @@
 SAFE = api.RequestClass(200 * MS, 3.0, 0.0, api.Repeat.SAFE)
 LATE = api.RequestClass(300 * MS, 1.0, 0.5, api.Repeat.SAFE)
 UNSAFE = api.RequestClass(500 * MS, 9.0, 0.0, api.Repeat.UNSAFE)
-KEYED = tuple(
-    api.RequestClass(400 * MS, 5.0, 0.2, api.Repeat.KEYED, group, 700 * MS) for group in api.Group
-)
+KEYED = tuple(api.RequestClass(400 * MS, 5.0, 0.2, api.Repeat.KEYED, group, 700 * MS) for group in api.Group)
 ORDERED = api.RequestClass(600 * MS, 6.0, 0.0, api.Repeat.KEYED, api.Group.CELL, 900 * MS, True)
 
 PLAIN = api.Settings(
     classes=(SAFE, UNSAFE, LATE, *KEYED, ORDERED),
-    tenants=(), nodes=3, list_mode=api.ListMode.PUSHED, ask_within=8 * SECOND,
-    cold_share=0.2, cold_time=6 * SECOND, max_attempts=3, max_retry_after=SECOND, retry_after=True,
-    worth_by_work=False, report_fields=(), idle_close=4 * SECOND, key_rest=300 * MS,
-)  # fmt: skip
+    tenants=(),
+    nodes=3,
+    list_mode=api.ListMode.PUSHED,
+    ask_within=8 * SECOND,
+    cold_share=0.2,
+    cold_time=6 * SECOND,
+    max_attempts=3,
+    max_retry_after=SECOND,
+    retry_after=True,
+    worth_by_work=False,
+    report_fields=(),
+    idle_close=4 * SECOND,
+    key_rest=300 * MS,
+)
 POLLED = replace(PLAIN, list_mode=api.ListMode.ON_REQUEST, nodes=40, zone=1, fall_multiple=3.0)
 REPORTED = replace(PLAIN, report_fields=("in_flight", "utilization"), zone=0, worth_by_work=True)
 TENANTS = replace(
@@ -134,9 +142,15 @@
             return api.Result.TIMEOUT
         rare = self.random.randrange(60)
         others = (
-            api.Result.ERROR, api.Result.FULL, api.Result.RESET, api.Result.CANCELLED,
-            api.Result.NOT_SENT, api.Result.REJECTED, api.Result.CONNECT_FAILED, api.Result.FULL,
-        )  # fmt: skip
+            api.Result.ERROR,
+            api.Result.FULL,
+            api.Result.RESET,
+            api.Result.CANCELLED,
+            api.Result.NOT_SENT,
+            api.Result.REJECTED,
+            api.Result.CONNECT_FAILED,
+            api.Result.FULL,
+        )
         if pace < 0.5:
             return others[rare % len(others)]
         return others[rare] if rare < len(others) else api.Result.OK
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,16 +14,18 @@
 from moleport.policy import balancer as balance
 from moleport.policy import interface as api
 
-SHAPES = st.fixed_dictionaries({
-    "list_mode": st.sampled_from(api.ListMode),
-    "tenants": st.sampled_from([(), (api.Tenant(0.7), api.Tenant(0.3))]),
-    "retry_after": st.booleans(),
-    "worth_by_work": st.booleans(),
-    "nodes": st.sampled_from([1, 5, 200]),
-    "key_rest": st.sampled_from([0, 50 * MS, 400 * MS]),
-    "max_attempts": st.sampled_from([1, 2, 4]),
-    "report_fields": st.sampled_from([(), ("utilization",), ("completed_per_s", "utilization")]),
-})
+SHAPES = st.fixed_dictionaries(
+    {
+        "list_mode": st.sampled_from(api.ListMode),
+        "tenants": st.sampled_from([(), (api.Tenant(0.7), api.Tenant(0.3))]),
+        "retry_after": st.booleans(),
+        "worth_by_work": st.booleans(),
+        "nodes": st.sampled_from([1, 5, 200]),
+        "key_rest": st.sampled_from([0, 50 * MS, 400 * MS]),
+        "max_attempts": st.sampled_from([1, 2, 4]),
+        "report_fields": st.sampled_from([(), ("utilization",), ("completed_per_s", "utilization")]),
+    }
+)
 
 
 def classes(group: api.Group) -> tuple[api.RequestClass, ...]:
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -205,8 +205,9 @@
         own = balancer._value(index)
         bounds = [
             (0.8 if value > 2.0 * own else 1.0) * thresholds[other]
-            for other in range(len(kinds)) if (value := balancer._value(other)) > 1.2 * own
-        ]  # fmt: skip
+            for other in range(len(kinds))
+            if (value := balancer._value(other)) > 1.2 * own
+        ]
         assert cap == min([thresholds[index], *bounds])
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -28,11 +28,20 @@
 UNSAFE = api.RequestClass(300 * MS, 10.0, 0.0, api.Repeat.UNSAFE)
 
 BASE = api.Settings(
-    classes=(SAFE, KEYED, UNSAFE), tenants=(), nodes=1, list_mode=api.ListMode.PUSHED,
-    ask_within=10 * SECOND, cold_share=0.15, cold_time=20 * SECOND, max_attempts=4,
-    max_retry_after=2 * SECOND, retry_after=True, worth_by_work=False, report_fields=(),
+    classes=(SAFE, KEYED, UNSAFE),
+    tenants=(),
+    nodes=1,
+    list_mode=api.ListMode.PUSHED,
+    ask_within=10 * SECOND,
+    cold_share=0.15,
+    cold_time=20 * SECOND,
+    max_attempts=4,
+    max_retry_after=2 * SECOND,
+    retry_after=True,
+    worth_by_work=False,
+    report_fields=(),
     idle_close=15 * SECOND,
-)  # fmt: skip
+)
 
 
 def settings(**changes: object) -> api.Settings:
@@ -51,9 +60,12 @@
     """A balancer driven by hand, with ids given out in order."""
 
     def __init__(
-        self, with_settings: api.Settings = BASE, servers: int = 6, seed: int = 1,
+        self,
+        with_settings: api.Settings = BASE,
+        servers: int = 6,
+        seed: int = 1,
         kind: api.ListKind = api.ListKind.FULL,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.now = START
         self.balancer = Balancer(with_settings, seed)
         self.timers = self._timers(self.balancer.start(self.now))
@@ -167,9 +179,13 @@
         kind = self.rules.classes[index]
         left = rnd.choice([DEADLINE, DEADLINE // 2, MS])
         request = api.Request(
-            len(self.taken) + 1, left, index, rnd.randrange(3), rnd.choice([0, 1, 1, 2, 3, 99]),
+            len(self.taken) + 1,
+            left,
+            index,
+            rnd.randrange(3),
+            rnd.choice([0, 1, 1, 2, 3, 99]),
             rnd.random() < 0.2,
-        )  # fmt: skip
+        )
         self.taken[request.id] = _Taken(request, kind, self.now)
         self._tell(request)
         taken = self.taken[request.id]
@@ -187,10 +203,19 @@
     def _finish(self) -> None:
         if out := self._outstanding():
             taken, index = self.random.choice(out)
-            result = self.random.choice([
-                api.Result.OK, api.Result.OK, api.Result.OK, api.Result.ERROR, api.Result.FULL,
-                api.Result.CONNECT_FAILED, api.Result.RESET, api.Result.NOT_SENT, api.Result.CANCELLED,
-            ])
+            result = self.random.choice(
+                [
+                    api.Result.OK,
+                    api.Result.OK,
+                    api.Result.OK,
+                    api.Result.ERROR,
+                    api.Result.FULL,
+                    api.Result.CONNECT_FAILED,
+                    api.Result.RESET,
+                    api.Result.NOT_SENT,
+                    api.Result.CANCELLED,
+                ]
+            )
             self._outcome(taken, index, result)
 
     def _outcome(self, taken: _Taken, index: int, result: api.Result) -> None:
@@ -202,9 +227,11 @@
         if result is api.Result.OK or broke:
             taken.answered = True
         report = tuple(self.random.random() for _ in self.rules.report_fields)
-        self._tell(api.Outcome(
-            taken.request.id, taken.answered, result, self.now - one.sent, one.server.id, index, report
-        ))
+        self._tell(
+            api.Outcome(
+                taken.request.id, taken.answered, result, self.now - one.sent, one.server.id, index, report
+            )
+        )
 
     def _begin_stream(self) -> None:
         for taken, index in self._outstanding():
