--- a/moleport/__main__.py
+++ b/moleport/__main__.py
@@ -12,9 +12,9 @@
 import uvloop
 
 from moleport.config.node_config import Config, ConfigError, load, reload
-from moleport.node.attempt import Pools
-from moleport.node.dispatcher import Node
-from moleport.node.listener import Front
+from moleport.node.attempt import ConnectionPools
+from moleport.node.dispatcher import Dispatcher
+from moleport.node.listener import Listener
 from moleport.telemetry import Event
 
 log = logging.getLogger("moleport")
@@ -32,11 +32,13 @@
 RELOAD_TRIED_FOR = 3.0  # s: what the new agent holds counts as told 4 s after the signal
 
 
-def assemble(config: Config) -> tuple[Node, Front]:
+def build_node(config: Config) -> tuple[Dispatcher, Listener]:
     usable = config.max_sockets - RESERVED
     clients = int(usable * CLIENTS_PART)
-    node = Node(config, Pools(usable - clients, config.connect_timeout_ns, config.idle_timeout_ns))
-    return node, Front(node, config, clients)
+    node = Dispatcher(
+        config, ConnectionPools(usable - clients, config.connect_timeout_ns, config.idle_timeout_ns)
+    )
+    return node, Listener(node, config, clients)
 
 
 def plan_end(config: Config) -> tuple[float, float]:
@@ -52,11 +54,11 @@
     return max(SERVE_ON, within - min(longest, max(held))), within
 
 
-class FileFollower:
+class ConfigReloader:
     """Reads the configuration anew at SIGHUP. Whatever is wrong with the file, the node serves on. A file
     that can't be used may be half written: it is read again for a bounded time."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: Dispatcher) -> None:
         self._node = node
         self._loop = asyncio.get_running_loop()
         self._next: asyncio.TimerHandle | None = None
@@ -94,11 +96,11 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    node, front = assemble(config)
+    node, front = build_node(config)
     # Guards against the default, which ends the process and all that it holds.
-    loop.add_signal_handler(signal.SIGHUP, FileFollower(node).signalled)
+    loop.add_signal_handler(signal.SIGHUP, ConfigReloader(node).signalled)
     node.start()
-    await node.wait_synced()
+    await node.wait_until_endpoints_known()
     try:
         address = front.listen()
     except OSError as problem:
@@ -109,7 +111,7 @@
     log.info("serving on %s:%d", *address)
     await stop.wait()
     log.info("stopping")
-    await front.stop(*plan_end(config))
+    await front.shut_down(*plan_end(config))
     node.telemetry.report()
     return 0
 
--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -50,33 +50,35 @@
 """Headers that belong to one connection, and the length, which each side states anew."""
 
 
-class Answer(NamedTuple):
+class ServerResponse(NamedTuple):
     status: int
     headers: list[tuple[bytes, bytes]]  # end to end, as they came
     body: bytes
-    load: bytes  # the load report; empty if there is none
+    load_report: bytes  # the load report; empty if there is none
 
 
-class Permit(Enum):
+class WritePermission(Enum):
     """What the guard of all writes says of one that is about to begin."""
 
-    WRITE = "write"
+    GRANTED = "write"
     WAIT = "wait"  # ask again soon
-    STOP = "stop"  # nothing may be written for this attempt any more
+    DENIED = "stop"  # nothing may be written for this attempt any more
 
 
 class AttemptOwner(Protocol):
     """Who an attempt asks before each write and dial, and tells of what became of it."""
 
-    def permit(self, attempt: Attempt) -> Permit: ...
+    def check_write_permission(self, attempt: Attempt) -> WritePermission: ...
 
-    def note(self, attempt: Attempt, event: Event) -> None:
+    def record_attempt_event(self, attempt: Attempt, event: Event) -> None:
         """Why it goes no further, or on."""
 
-    def written(self, attempt: Attempt, told: int) -> None:
+    def on_request_written(self, attempt: Attempt, told: int) -> None:
         """Its last byte is with the kernel, or soon will be; the server was told of `told` ns."""
 
-    def ended(self, attempt: Attempt, result: AttemptResult, answer: Answer | None) -> None: ...
+    def on_attempt_ended(
+        self, attempt: Attempt, result: AttemptResult, answer: ServerResponse | None
+    ) -> None: ...
 
 
 class Attempt:
@@ -94,52 +96,52 @@
         "_wait_timer",
         "_write_timer",
         "done",
-        "expires",
+        "endpoint_id",
+        "expires_at_ns",
         "index",
         "pool",
-        "request",
-        "server",
-        "since",
-        "write_by",
-        "written_at",
+        "request_number",
+        "started_at_ns",
+        "write_deadline_ns",
+        "written_at_ns",
     )
 
     def __init__(
         self,
         owner: AttemptOwner,
-        request: int,
+        request_number: int,
         index: int,
-        server: EndpointId,
-        pool: Pool,
+        endpoint_id: EndpointId,
+        pool: ConnectionPool,
         head: bytes,
         body: bytes,
-        since: int,
-        expires: int,
-        write_by: int,
+        started_at_ns: int,
+        expires_at_ns: int,
+        write_deadline_ns: int,
     ) -> None:
-        self.request = request  # its number
+        self.request_number = request_number  # its number
         self.index = index  # among the attempts of its request, from 0
-        self.server = server
+        self.endpoint_id = endpoint_id
         self.pool = pool
-        self.since = since  # monotonic ns, less the holds up to then
-        self.expires = expires  # monotonic ns
-        self.write_by = write_by  # monotonic ns; 0: no such bound
-        self.written_at = 0  # monotonic ns, when it was written; 0: it was not
+        self.started_at_ns = started_at_ns  # monotonic ns, less the holds up to then
+        self.expires_at_ns = expires_at_ns  # monotonic ns
+        self.write_deadline_ns = write_deadline_ns  # monotonic ns; 0: no such bound
+        self.written_at_ns = 0  # monotonic ns, when it was written; 0: it was not
         self.done = False
         self._head = head
         self._body = body
         self._owner = owner
-        self._connection: Connection | None = None
+        self._connection: ServerConnection | None = None
         self._dial: asyncio.Task[None] | None = None
-        self._dialed: Connection | None = None  # has come up, and waits for leave to be written to
+        self._dialed: ServerConnection | None = None  # has come up, and waits for leave to be written to
         self._wait_timer: asyncio.TimerHandle | None = None
         self._own_faults = 0  # dials that failed for this machine's fault
         self._timer: asyncio.TimerHandle | None = None
         self._write_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        if self.write_by:
-            left = max(0, self.write_by - monotonic_ns()) / 1e9
+        if self.write_deadline_ns:
+            left = max(0, self.write_deadline_ns - monotonic_ns()) / 1e9
             self._write_timer = asyncio.get_running_loop().call_later(left, self.give_up_unwritten)
         self._begin()
 
@@ -150,25 +152,25 @@
             return
         if (connection := self.pool.take()) is not None:
             self._write(connection)
-        elif not self.pool.pools.room():
+        elif not self.pool.pools.make_room():
             # The node's own want of descriptors is no failure of the server.
             self.end(AttemptResult.NOT_SENT)
         else:
             self.pool.dialing[self] = None
-            self._expires_at(min(self.expires, monotonic_ns() + self.pool.pools.dial_timeout))
+            self._expires_at(min(self.expires_at_ns, monotonic_ns() + self.pool.pools.connect_timeout_ns))
             self._dial = asyncio.get_running_loop().create_task(self._connect())
 
     def _has_leave(self, again: Callable[[], None]) -> bool:
         """Whether its owner lets it go on now; if it has to wait, `again` is called soon."""
-        permit = self._owner.permit(self)
-        if permit is Permit.STOP:
+        permit = self._owner.check_write_permission(self)
+        if permit is WritePermission.DENIED:
             self.end(AttemptResult.NOT_SENT)
-        elif permit is Permit.WAIT:
+        elif permit is WritePermission.WAIT:
             self._wait_timer = asyncio.get_running_loop().call_later(RECHECK, again)
-        return permit is Permit.WRITE
+        return permit is WritePermission.GRANTED
 
     async def _connect(self) -> None:
-        connection = Connection(self.pool)
+        connection = ServerConnection(self.pool)
         self.pool.pools.sockets += 1  # while it is dialed; an open connection counts itself
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *self.pool.address)
@@ -198,13 +200,13 @@
         if fault is Fault.PATH:
             pools.unreachable.add(self.pool.address)
             # One server that nothing reaches is lost; several without one that is reached are cut off alike.
-            if len(pools.unreachable) < min(UNREACHABLE_LEAST, len(pools.servers())):
+            if len(pools.unreachable) < min(UNREACHABLE_LEAST, len(pools.endpoint_ids())):
                 fault = Fault.PEER
         if fault is Fault.PEER:
-            self._owner.note(self, Event.DIAL_FAILED)
+            self._owner.record_attempt_event(self, Event.DIAL_FAILED)
             self.end(AttemptResult.CONNECT_FAILED)
             return
-        self._owner.note(self, Event.DIAL_FAILED_LOCALLY)
+        self._owner.record_attempt_event(self, Event.DIAL_FAILED_LOCALLY)
         self._own_faults += 1
         if self._own_faults > PATH_TRIES and fault is Fault.PATH:
             self.end(AttemptResult.NOT_SENT)
@@ -212,7 +214,7 @@
         if fault is Fault.DESCRIPTORS:
             pools.close_idlest()
         pause = min(REDIAL_PAUSE_MOST, REDIAL_PAUSE * 2 ** min(self._own_faults, REDIAL_DOUBLINGS))
-        self.since += int(pause * 1e9)  # no time of the server's
+        self.started_at_ns += int(pause * 1e9)  # no time of the server's
         self._wait_timer = asyncio.get_running_loop().call_later(pause, self._begin)
 
     def _write_dialed(self) -> None:
@@ -222,23 +224,23 @@
             assert connection is not None
             self._write(connection)
 
-    def _write(self, connection: Connection) -> None:
+    def _write(self, connection: ServerConnection) -> None:
         if connection.closed:  # it ended while the attempt waited
             self.end(AttemptResult.CONNECT_FAILED)
             return
         now = monotonic_ns()
-        left = self.expires - now
-        too_late_to_write = 0 < self.write_by <= now
+        left = self.expires_at_ns - now
+        too_late_to_write = 0 < self.write_deadline_ns <= now
         if left <= 0 or too_late_to_write:
-            self._owner.note(self, Event.ATTEMPT_STOPPED_TOO_LATE)
+            self._owner.record_attempt_event(self, Event.ATTEMPT_STOPPED_TOO_LATE)
             self.pool.put_back(connection)
             # That the time to write it was short is no failure of the server.
             self.end(AttemptResult.NOT_SENT if too_late_to_write else AttemptResult.CONNECT_FAILED)
             return
         self._connection = connection
-        self._expires_at(self.expires)
+        self._expires_at(self.expires_at_ns)
         connection.send(self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, left // 1000, self._body))
-        self._owner.written(self, left)
+        self._owner.on_request_written(self, left)
 
     def _expires_at(self, at: int) -> None:
         # The loop counts in whole milliseconds and rounds. Guards against a time-out that comes a little
@@ -277,7 +279,7 @@
     def cancel(self) -> None:
         self.end(AttemptResult.CANCELLED)
 
-    def end(self, result: AttemptResult, answer: Answer | None = None) -> None:
+    def end(self, result: AttemptResult, answer: ServerResponse | None = None) -> None:
         if self.done:
             return
         self.done = True
@@ -293,13 +295,13 @@
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.release(self)
-        self._owner.ended(self, result, answer)
+        self._owner.on_attempt_ended(self, result, answer)
 
 
-class Connection(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One connection to a server; it carries one request at a time."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
         self._transport: asyncio.Transport | None = None
         self._poll = select.poll()
@@ -494,24 +496,24 @@
             result = AttemptResult.CLIENT_ERROR
         else:
             result = AttemptResult.ERROR
-        attempt.end(result, Answer(self._status, self._headers, b"".join(self._body), self._load))
+        attempt.end(result, ServerResponse(self._status, self._headers, b"".join(self._body), self._load))
 
 
-class Pool:
+class ConnectionPool:
     """The idle connections to one server. After a restart or with a new address it gets another pool."""
 
     __slots__ = ("address", "dialing", "idle", "pools", "retired", "retired_at", "started")
 
-    def __init__(self, pools: Pools, address: tuple[str, int], started: int) -> None:
+    def __init__(self, pools: ConnectionPools, address: tuple[str, int], started: int) -> None:
         self.pools = pools
         self.address = address
         self.started = started
         self.retired = False
         self.retired_at = 0  # monotonic ns
-        self.idle: list[Connection] = []  # the most recently used last
+        self.idle: list[ServerConnection] = []  # the most recently used last
         self.dialing: dict[Attempt, None] = {}  # an empty set takes three times the memory
 
-    def take(self) -> Connection | None:
+    def take(self) -> ServerConnection | None:
         now = monotonic_ns()
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[index]
@@ -520,37 +522,37 @@
             del self.idle[index]
             if (
                 not connection.closed
-                and connection.idle_since >= now - self.pools.idle_limit
+                and connection.idle_since >= now - self.pools.idle_limit_ns
                 and connection.is_quiet()
             ):
                 return connection
             connection.close()
         return None
 
-    def put(self, connection: Connection) -> None:
+    def put(self, connection: ServerConnection) -> None:
         """One that has just brought an answer is idle from now on."""
         connection.idle_since = monotonic_ns()
         self._keep(connection)
 
-    def put_back(self, connection: Connection) -> None:
+    def put_back(self, connection: ServerConnection) -> None:
         """One that carried nothing since it was taken or dialed. Its server counts its idle time on."""
         if not connection.idle_since:
             connection.idle_since = monotonic_ns()
         self._keep(connection)
 
-    def _keep(self, connection: Connection) -> None:
+    def _keep(self, connection: ServerConnection) -> None:
         if self.retired or connection.closed:
             connection.close()
         else:
             insort(self.idle, connection, key=_idle_since)
             self.pools.with_idle[self] = None
 
-    def lost(self, connection: Connection) -> None:
+    def lost(self, connection: ServerConnection) -> None:
         self.pools.sockets -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
-    def drop_idle(self, before: int | None = None) -> None:
+    def close_idle(self, before: int | None = None) -> None:
         """Close the idle connections, or those that are idle since before a time."""
         dropped = [one for one in self.idle if before is None or one.idle_since < before]
         self.idle = self.idle[len(dropped) :]
@@ -561,60 +563,62 @@
         """The server drains, is gone or restarted: nothing new may reach it, nor what waits for a dial."""
         self.retired = True
         self.retired_at = monotonic_ns()
-        self.drop_idle()
+        self.close_idle()
         for attempt in list(self.dialing):
             attempt.end(AttemptResult.NOT_SENT)
 
 
-def _idle_since(connection: Connection) -> int:
+def _idle_since(connection: ServerConnection) -> int:
     return connection.idle_since
 
 
-class Pools:
+class ConnectionPools:
     """All pools, within the descriptors that the node may use for servers."""
 
-    def __init__(self, sockets_most: int, dial_timeout: int, idle_close: int) -> None:
+    def __init__(self, sockets_most: int, connect_timeout_ns: int, idle_close: int) -> None:
         self.sockets = 0  # open or being dialed
-        self.dial_timeout = dial_timeout
-        self.idle_limit = int(idle_close * IDLE_PART)
+        self.connect_timeout_ns = connect_timeout_ns
+        self.idle_limit_ns = int(idle_close * IDLE_PART)
         self._sockets_most = sockets_most
-        self._pools: dict[EndpointId, Pool] = {}
+        self._pools: dict[EndpointId, ConnectionPool] = {}
         self.unreachable: set[tuple[str, int]] = set()  # addresses, since a dial last came up
-        self.with_idle: dict[Pool, None] = {}  # all with idle connections, and some that had one lately
+        self.with_idle: dict[
+            ConnectionPool, None
+        ] = {}  # all with idle connections, and some that had one lately
         self._sweep_every = idle_close * (1 - IDLE_PART) / 2 / 1e9
 
     def start(self) -> None:
         asyncio.get_running_loop().call_later(self._sweep_every, self._sweep)
 
     def _sweep(self) -> None:
-        before = monotonic_ns() - self.idle_limit
+        before = monotonic_ns() - self.idle_limit_ns
         for pool in list(self.with_idle):
-            pool.drop_idle(before)
+            pool.close_idle(before)
             if not pool.idle:
                 del self.with_idle[pool]
         self.start()
 
-    def get(self, server: EndpointId) -> Pool | None:
+    def get(self, server: EndpointId) -> ConnectionPool | None:
         return self._pools.get(server)
 
-    def enrol(self, server: EndpointId, address: tuple[str, int], started: int) -> None:
+    def add_endpoint(self, server: EndpointId, address: tuple[str, int], started: int) -> None:
         pool = self._pools.get(server)
         if pool is not None and (pool.address, pool.started) == (address, started):
             return
-        self._pools[server] = Pool(self, address, started)
+        self._pools[server] = ConnectionPool(self, address, started)
         if pool is not None:
             pool.retire()
 
-    def retire(self, server: EndpointId) -> None:
+    def retire_endpoint(self, server: EndpointId) -> None:
         pool = self._pools.pop(server, None)
         if pool is not None:
             pool.retire()
 
-    def servers(self) -> KeysView[EndpointId]:
+    def endpoint_ids(self) -> KeysView[EndpointId]:
         """Those that have a pool: a live view."""
         return self._pools.keys()
 
-    def room(self) -> bool:
+    def make_room(self) -> bool:
         """Whether one more connection may be opened; closes the longest idle one to make room."""
         return self.sockets < self._sockets_most or self.close_idlest()
 
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -37,14 +37,14 @@
 class _Reading:
     """A list whose entries are being read; it is told once all could be."""
 
-    watch: _Watch
+    watch: WatchConnection
     version: int
     full: bool
     entries: list[object]
     hosts: list[DiscoveredEndpoint] = field(default_factory=list)
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps one watch at most, opened when it is told to. Each watch that ends is reported once."""
 
     def __init__(
@@ -60,7 +60,7 @@
         self._version = version
         self._on_list = on_list
         self._on_failed = on_failed
-        self._watch: _Watch | None = None
+        self._watch: WatchConnection | None = None
         self._opening: asyncio.Task[None] | None = None
         self._reading: _Reading | None = None
         self._loop = asyncio.get_running_loop()
@@ -68,7 +68,7 @@
     def watch(self) -> None:
         if self._watch is not None:
             return  # it stands or is being opened, and will tell of its end: a second one is load
-        self._watch = _Watch(self)
+        self._watch = WatchConnection(self)
         self._opening = self._loop.create_task(self._open(self._watch))
 
     def move(self, address: tuple[str, int]) -> None:
@@ -95,16 +95,16 @@
         target = f"/discovery/hosts?watch=1&from={self._version}"
         return f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
 
-    async def _open(self, watch: _Watch) -> None:
+    async def _open(self, watch: WatchConnection) -> None:
         try:
             await self._loop.create_connection(lambda: watch, *self._address)
         except OSError as problem:
             self.failed(watch, f"no connection: {problem!r}")
 
-    def is_current(self, watch: _Watch) -> bool:
+    def is_current(self, watch: WatchConnection) -> bool:
         return watch is self._watch
 
-    def received(self, watch: _Watch, text: bytes) -> None:
+    def received(self, watch: WatchConnection, text: bytes) -> None:
         self.finish()
         if watch is not self._watch:
             return
@@ -148,12 +148,12 @@
             self._version = reading.version
             self._on_list(DiscoveryUpdate(reading.version, reading.full, tuple(reading.hosts)))
 
-    def _refuse(self, watch: _Watch, problem: Exception) -> None:
+    def _refuse(self, watch: WatchConnection, problem: Exception) -> None:
         self._reading = None
         self._version = 0  # what was skipped is unknown: the next watch starts from the whole list
         self.failed(watch, f"bad change: {problem}")
 
-    def failed(self, watch: _Watch, why: str) -> None:
+    def failed(self, watch: WatchConnection, why: str) -> None:
         """The watch has ended; a second report of the same one is passed over."""
         if watch is not self._watch:
             return
@@ -162,10 +162,10 @@
         self._on_failed()
 
 
-class _Watch(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """The connection of one watch: bytes to objects."""
 
-    def __init__(self, owner: Discovery) -> None:
+    def __init__(self, owner: DiscoveryClient) -> None:
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpResponseParser | None = None  # while the connection is open
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -17,11 +17,11 @@
 from moleport.config.endpoints import DiscoveredEndpoint, DiscoveryUpdate
 from moleport.config.node_config import Config
 from moleport.node import discovery_watch as discovery
-from moleport.node.attempt import Answer, Attempt, Permit, Pools
-from moleport.node.discovery_watch import Discovery
+from moleport.node.attempt import Attempt, ConnectionPools, ServerResponse, WritePermission
+from moleport.node.discovery_watch import DiscoveryClient
 from moleport.node.hold_detector import HoldDetector
 from moleport.node.invariants import Write, broken_by
-from moleport.node.server_start_times import StartTimes
+from moleport.node.server_start_times import ServerStartTimes
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 from moleport.policy.interface import (
@@ -45,50 +45,50 @@
 WATCH_PAUSE_PART = 0.5  # of the grace after a drain, at most: what the agent gets meanwhile counts as told
 
 
-def digest(text: str | bytes) -> bytes:
+def hash_name(text: str | bytes) -> bytes:
     """Eight bytes that stand for a name on every node alike: the module hashes no more than that of an id."""
     return blake2b(text if isinstance(text, bytes) else text.encode(), digest_size=8).digest()
 
 
-def key_number(key: bytes) -> int:
-    return int.from_bytes(digest(key), "little") or 1
+def hash_key(key: bytes) -> int:
+    return int.from_bytes(hash_name(key), "little") or 1
 
 
 def _advice(wait: int) -> list[tuple[bytes, bytes]]:
     return [(b"Retry-After", b"%.3f" % (wait / 1e9))] if wait else []
 
 
-class Client(Protocol):
+class ClientHandle(Protocol):
     """Who asked: gets one answer. `Node.client_ends` is called as the loop reads its end."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """By the kernel's word, which the loop may not have read yet."""
         ...
 
-    def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None: ...
+    def send_response(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class ClientRequest:
     """A request as the front has read it."""
 
-    client: Client
-    identity: bytes  # new with every request, as clients give it
+    client: ClientHandle
+    request_id: bytes  # new with every request, as clients give it
     head: bytes  # request line and headers for a server, but for X-Deadline and the blank line
     body: bytes
     class_index: int
-    tenant: int
+    tenant_index: int
     key: int
-    resubmitted: bool
-    deadline: int  # monotonic ns
+    is_client_retry: bool
+    deadline_ns: int  # monotonic ns
 
 
 @dataclass(slots=True, eq=False)
-class Open:
+class ActiveRequest:
     """A request that is unanswered or has attempts out."""
 
     number: int
-    call: Call
+    call: ClientRequest
     watchdog: asyncio.TimerHandle | None = None
     answered: bool = False
     left_at: int = 0  # monotonic ns, when its client was seen to send no more; 0: it was not
@@ -97,22 +97,22 @@
     out: dict[int, Attempt] = field(default_factory=dict)
 
 
-class Node:
+class Dispatcher:
     """Owns the balancer; it sees one event at a time, each once all actions on the one before are done."""
 
-    def __init__(self, config: Config, pools: Pools) -> None:
+    def __init__(self, config: Config, pools: ConnectionPools) -> None:
         self._config = config
         self._pools = pools
         self._balancer = Balancer(config.policy_settings, config.seed)
         self._loop = asyncio.get_running_loop()
         self._events: deque[api.Event] = deque()
         self._telling = False
-        self._open: dict[int, Open] = {}
+        self._open: dict[int, ActiveRequest] = {}
         self._identities: set[bytes] = set()  # of the requests in _open
         self._last_number = 0
         self._ending = False
         self._warned = False  # of load reports
-        self._ready = pools.servers()  # a live view: all that have a pool, and no others
+        self._ready = pools.endpoint_ids()  # a live view: all that have a pool, and no others
         self._hosts: dict[
             str, DiscoveredEndpoint
         ] = {}  # as the module was last told of them; none that is gone
@@ -123,10 +123,10 @@
         self._random = Random(config.seed)
         self._failed_watches = 0  # since the list was last told of
         self.telemetry = Telemetry()
-        self.holds = HoldDetector(self.telemetry)
-        self._starts = StartTimes()
+        self.hold_detector = HoldDetector(self.telemetry)
+        self._starts = ServerStartTimes()
         pushed = config.policy_settings.discovery_mode is DiscoveryMode.PUSH
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery_address,
             config.cached_endpoints.version,
             self._list_came,
@@ -139,7 +139,7 @@
 
     def start(self) -> None:
         self._pools.start()
-        self.holds.start()
+        self.hold_detector.start()
         self._act_on(self._balancer.start(monotonic_ns()))
         self._starts.learn(self._config.cached_endpoints.endpoints, monotonic_ns())
         self._follow(EndpointUpdateKind.CACHED, self._config.cached_endpoints.endpoints)
@@ -148,7 +148,7 @@
         else:
             self._synced.set()
 
-    async def wait_synced(self) -> None:
+    async def wait_until_endpoints_known(self) -> None:
         """Until the agent has said what it knows, or has failed to: what it holds counts as told from the
         process's first moment, and what the configuration tells may be older. Where nothing has changed, it
         may tell nothing: a first line that is due and brings no list says that there is none."""
@@ -169,10 +169,10 @@
         self._config = replace(self._config, discovery_address=config.discovery_address)
         self._discovery.move(config.discovery_address)
 
-    def can_serve(self) -> bool:
+    def has_endpoints(self) -> bool:
         return bool(self._ready)
 
-    def fail_all(self) -> None:
+    def fail_all_requests(self) -> None:
         """The process is about to end: whoever still waits is told, and whoever comes now."""
         self._ending = True
         for request in list(self._open.values()):
@@ -223,14 +223,14 @@
         elif isinstance(action, api.Fail):
             self.telemetry.count(Event.REQUEST_FAILED_BY_MODULE, request=action.request_id)
             request = self._open.get(action.request_id)
-            late = request is not None and monotonic_ns() >= request.call.deadline - TRANSIT
+            late = request is not None and monotonic_ns() >= request.call.deadline_ns - TRANSIT
             self._answer(action.request_id, 504 if late else 502, [])
         elif isinstance(action, api.SetTimer):
             self._set_timer(action.at_ns, action.timer_id)
         elif isinstance(action, api.CloseIdleConnections):
             pool = self._pools.get(action.endpoint_id)
             if pool is not None:
-                pool.drop_idle()
+                pool.close_idle()
         else:
             self._discovery.watch()
 
@@ -247,46 +247,48 @@
 
     # Requests.
 
-    def take(self, call: Call) -> int:
+    def accept_request(self, call: ClientRequest) -> int:
         """A client's request has come. Returns its number, for `client_gone`."""
         self._last_number += 1
         now = monotonic_ns()
-        request = Open(self._last_number, call)
-        self.telemetry.count(Event.REQUEST_TAKEN, request=request.number, id=call.identity)
-        left = call.deadline - TRANSIT - now
+        request = ActiveRequest(self._last_number, call)
+        self.telemetry.count(Event.REQUEST_TAKEN, request=request.number, id=call.request_id)
+        left = call.deadline_ns - TRANSIT - now
         if left <= 0:
             self.telemetry.count(Event.REQUEST_EXPIRED_UNREAD, request=request.number)
-            call.client.answer(504, [], b"")
-        elif call.identity in self._identities:
+            call.client.send_response(504, [], b"")
+        elif call.request_id in self._identities:
             # Guards against a stranger that sends another client's id: a server would take it for a copy.
             self.telemetry.count(Event.REQUEST_DUPLICATE_ID, request=request.number)
-            call.client.answer(409, [], b"")
+            call.client.send_response(409, [], b"")
         elif self._ending or len(self._open) >= self._config.max_requests:
             refusal = Event.REQUEST_REFUSED_AT_END if self._ending else Event.REQUEST_REFUSED_BY_LIMIT
             self.telemetry.count(refusal, request=request.number)
-            call.client.answer(503, self.advice(), b"")
+            call.client.send_response(503, self.retry_after_headers(), b"")
         else:
             self._open[request.number] = request
-            self._identities.add(call.identity)
-            request.watchdog = self._loop.call_later((call.deadline - now) / 1e9, self._overdue, request)
+            self._identities.add(call.request_id)
+            request.watchdog = self._loop.call_later((call.deadline_ns - now) / 1e9, self._overdue, request)
             self._tell(
-                api.Request(request.number, left, call.class_index, call.tenant, call.key, call.resubmitted)
+                api.Request(
+                    request.number, left, call.class_index, call.tenant_index, call.key, call.is_client_retry
+                )
             )
         return request.number
 
-    def advice(self) -> list[tuple[bytes, bytes]]:
+    def retry_after_headers(self) -> list[tuple[bytes, bytes]]:
         """For a refusal that the module is not asked for."""
         settings = self._config.policy_settings
         return _advice(settings.max_retry_after_ns if settings.sends_retry_after else 0)
 
-    def client_gone(self, number: int) -> None:
+    def on_client_disconnected(self, number: int) -> None:
         request = self._open.get(number)
         if request is None or request.answered:
             return
         self.telemetry.count(Event.CLIENT_LEFT, request=number)
         self._close(request)
 
-    def client_ends(self, number: int) -> None:
+    def on_client_half_closed(self, number: int) -> None:
         """It sends no more, which is all that shows of one that closes its connection. What is out is waited
         for; a dial, or what is not written to its last byte, is given up."""
         request = self._open.get(number)
@@ -298,14 +300,14 @@
         for attempt in list(request.out.values()):
             attempt.give_up_unwritten()
 
-    def _overdue(self, request: Open, status: int = 504) -> None:
+    def _overdue(self, request: ActiveRequest, status: int = 504) -> None:
         """Guards against a request that nobody answers, whatever the reason."""
         if not request.answered:
             self.telemetry.count(Event.REQUEST_OVERDUE, request=request.number, status=status)
-            request.call.client.answer(status, [], b"")
+            request.call.client.send_response(status, [], b"")
             self._close(request)
 
-    def _close(self, request: Open) -> None:
+    def _close(self, request: ActiveRequest) -> None:
         """Over without an action of the module: it is told, and nothing goes on for it."""
         self._finish(request)
         self._tell(api.ClientDisconnected(request.number))
@@ -317,18 +319,18 @@
     ) -> None:
         request = self._open.get(number)
         if request is not None and not request.answered:
-            request.call.client.answer(status, headers, body)
+            request.call.client.send_response(status, headers, body)
             self._finish(request)
 
-    def _finish(self, request: Open) -> None:
+    def _finish(self, request: ActiveRequest) -> None:
         request.answered = True
         if request.watchdog is not None:
             request.watchdog.cancel()
         self._forget_if_done(request)
 
-    def _forget_if_done(self, request: Open) -> None:
+    def _forget_if_done(self, request: ActiveRequest) -> None:
         if request.answered and not request.out and self._open.pop(request.number, None) is not None:
-            self._identities.discard(request.call.identity)
+            self._identities.discard(request.call.request_id)
 
     # Attempts.
 
@@ -355,7 +357,7 @@
             )
             return
         now = monotonic_ns()
-        latest = request.call.deadline - TRANSIT
+        latest = request.call.deadline_ns - TRANSIT
         attempt = Attempt(
             self,
             request.number,
@@ -364,40 +366,42 @@
             pool,
             request.call.head,
             request.call.body,
-            since=now - self.holds.stalled_ns(),
-            expires=min(latest, now + action.timeout_ns) if action.timeout_ns else latest,
-            write_by=action.write_deadline_ns,
+            started_at_ns=now - self.hold_detector.stalled_ns(),
+            expires_at_ns=min(latest, now + action.timeout_ns) if action.timeout_ns else latest,
+            write_deadline_ns=action.write_deadline_ns,
         )
         request.out[index] = attempt
         attempt.start()
 
-    def permit(self, attempt: Attempt) -> Permit:
+    def check_write_permission(self, attempt: Attempt) -> WritePermission:
         """The one guard of all that is written to servers, asked before each dial and each write: what was
         decided may have been overtaken by what lies unread with the kernel."""
-        request = self._open.get(attempt.request)
+        request = self._open.get(attempt.request_number)
         if request is None or request.answered:
-            return Permit.STOP
+            return WritePermission.DENIED
         if attempt.pool.retired:
-            self.note(attempt, Event.ATTEMPT_STOPPED_SERVER_LEFT)
-            return Permit.STOP
-        if self.holds.is_settling():
+            self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_LEFT)
+            return WritePermission.DENIED
+        if self.hold_detector.is_settling():
             # News of the list may lie beside the requests, and be older than the grace of a drain.
-            self.note(attempt, Event.ATTEMPT_HELD_FOR_NEWS)
-            return Permit.WAIT
-        if request.left_at or request.call.client.has_left():
-            self.note(attempt, Event.ATTEMPT_STOPPED_CLIENT_LEFT)
-            self.client_ends(request.number)
-            return Permit.STOP
-        return Permit.WRITE
-
-    def note(self, attempt: Attempt, event: Event) -> None:
-        self.telemetry.count(event, request=attempt.request, attempt=attempt.index, server=attempt.server)
-
-    def written(self, attempt: Attempt, told: int) -> None:
+            self.record_attempt_event(attempt, Event.ATTEMPT_HELD_FOR_NEWS)
+            return WritePermission.WAIT
+        if request.left_at or request.call.client.has_disconnected():
+            self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_CLIENT_LEFT)
+            self.on_client_half_closed(request.number)
+            return WritePermission.DENIED
+        return WritePermission.GRANTED
+
+    def record_attempt_event(self, attempt: Attempt, event: Event) -> None:
+        self.telemetry.count(
+            event, request=attempt.request_number, attempt=attempt.index, server=attempt.endpoint_id
+        )
+
+    def on_request_written(self, attempt: Attempt, told: int) -> None:
         """Checks what the guards are for, as the last byte is on its way."""
-        request = self._open.get(attempt.request)
+        request = self._open.get(attempt.request_number)
         assert request is not None  # it has this attempt out
-        self.note(attempt, Event.ATTEMPT_WRITTEN)
+        self.record_attempt_event(attempt, Event.ATTEMPT_WRITTEN)
         if attempt.index:
             self.telemetry.count(Event.ATTEMPT_REPEATED)
         now = monotonic_ns()
@@ -415,21 +419,23 @@
             server_left_since=now - pool.retired_at if pool.retired else None,
             drain_grace=self._config.drain_grace_ns,
             told=told,
-            left=request.call.deadline - now,
+            left=request.call.deadline_ns - now,
         )
         for invariant in broken_by(write):
             self.telemetry.violate(
-                invariant, request=request.number, id=request.call.identity, attempt=attempt.index
+                invariant, request=request.number, id=request.call.request_id, attempt=attempt.index
             )
-        attempt.written_at = now
+        attempt.written_at_ns = now
 
-    def ended(self, attempt: Attempt, result: AttemptResult, answer: Answer | None) -> None:
+    def on_attempt_ended(
+        self, attempt: Attempt, result: AttemptResult, answer: ServerResponse | None
+    ) -> None:
         """What became of an attempt: the answer goes to the client, and the module hears of it."""
-        request = self._open[attempt.request]
-        index, server = attempt.index, attempt.server
-        elapsed = monotonic_ns() - self.holds.stalled_ns() - attempt.since
+        request = self._open[attempt.request_number]
+        index, server = attempt.index, attempt.endpoint_id
+        elapsed = monotonic_ns() - self.hold_detector.stalled_ns() - attempt.started_at_ns
         if result not in NOT_EXECUTED and not request.ran_since:
-            request.ran_since = attempt.written_at or monotonic_ns()
+            request.ran_since = attempt.written_at_ns or monotonic_ns()
         del request.out[index]
         if answer is not None and not request.answered:
             if result is AttemptResult.OK:
@@ -438,7 +444,7 @@
                 # The request is at fault: another server would say the same, and none is worse for it.
                 self._answer(request.number, answer.status, [], b"")
         self._forget_if_done(request)
-        report = self._report(answer.load) if answer is not None and answer.load else ()
+        report = self._report(answer.load_report) if answer is not None and answer.load_report else ()
         self._tell(
             api.AttemptOutcome(request.number, request.answered, result, elapsed, server, index, report)
         )
@@ -541,7 +547,7 @@
         """Tell the module of entries, and keep hosts and pools in step with it. `gone` are those that a whole
         list left out: where it is told whole, the module sees so itself."""
         servers = tuple(self._server(host) for host in hosts)
-        leaving = [digest(host.id) for host in gone or ()]
+        leaving = [hash_name(host.id) for host in gone or ()]
         for host in gone or ():
             del self._hosts[host.id]
         for host, server in zip(hosts, servers, strict=True):
@@ -550,19 +556,19 @@
             else:
                 self._hosts[host.id] = host
             if host.state is EndpointState.READY:
-                self._pools.enrol(server.id, host.address, server.started_at_ns)
+                self._pools.add_endpoint(server.id, host.address, server.started_at_ns)
             else:
                 leaving.append(server.id)
         # The module is told before the others are retired: what ends by that may be sent elsewhere at once.
         self._tell(api.EndpointUpdate(kind, servers))
         for identity in leaving:
-            self._pools.retire(identity)
+            self._pools.retire_endpoint(identity)
         self._starts.trim(self._hosts)
 
     def _server(self, host: DiscoveredEndpoint) -> api.Endpoint:
         zones, kinds = self._config.zone_indices, self._config.hardware_type_indices
         return api.Endpoint(
-            digest(host.id),
+            hash_name(host.id),
             zones.get(host.zone, len(zones)),
             host.cell,
             host.state,
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -14,10 +14,10 @@
 from typing import cast
 
 from moleport.config.node_config import Config
-from moleport.node.dispatcher import Call, Node, key_number
+from moleport.node.dispatcher import ClientRequest, Dispatcher, hash_key
 from moleport.node.error_codes import Fault, fault_of
 from moleport.node.hold_detector import HOLD_LEAST
-from moleport.node.request_parser import UP, Incoming, Reader
+from moleport.node.request_parser import UP, ParsedRequest, RequestParser
 from moleport.telemetry import Event
 
 log = logging.getLogger(__name__)
@@ -48,11 +48,11 @@
 NUMBERED = {status.value: b"%d %s" % (status.value, status.phrase.encode()) for status in HTTPStatus}
 
 
-class Front:
+class Listener:
     """The listening socket and all connections that came from it."""
 
-    def __init__(self, node: Node, config: Config, connections_most: int) -> None:
-        self.node = node
+    def __init__(self, dispatcher: Dispatcher, config: Config, connections_most: int) -> None:
+        self.node = dispatcher
         self.config = config
         self.closing = False  # answers end their connections
         self.stopping = False  # `/up` sends clients elsewhere
@@ -102,7 +102,7 @@
     def _accept(self) -> None:
         if self._socket is None:
             return
-        since = self._queue_since = self._queue_since or self.node.holds.earliest_arrival()
+        since = self._queue_since = self._queue_since or self.node.hold_detector.earliest_arrival()
         for _ in range(ACCEPTS):
             if self._open >= self._most and not self._reclaim_one():
                 self._pause()
@@ -174,7 +174,7 @@
     def _sweep(self) -> None:
         """Guards against clients that say nothing, stop half way, send slowly or keep what they don't use.
         After a hold, what they have sent is read first."""
-        if self.node.holds.is_settling():
+        if self.node.hold_detector.is_settling():
             self._loop.call_later(LOOK, self._sweep)
             return
         now = self._loop.time()
@@ -197,17 +197,17 @@
 
     # What the connections tell.
 
-    def came(self, connection: ClientConnection) -> None:
+    def on_connected(self, connection: ClientConnection) -> None:
         self._connections.add(connection)
         self._new[connection] = self._loop.time()
 
-    def lost(self, connection: ClientConnection) -> None:
+    def on_disconnected(self, connection: ClientConnection) -> None:
         self._connections.discard(connection)
-        self.works(connection)
+        self.mark_active(connection)
         self._lingering.pop(connection, None)
         self._left()
 
-    def idles(self, connection: ClientConnection) -> None:
+    def mark_idle(self, connection: ClientConnection) -> None:
         self._reading.pop(connection, None)
         self._reclaim_idle()
         self._idle.setdefault(connection, self._loop.time())  # bytes that are no request give no new time
@@ -222,19 +222,19 @@
             del self._idle[first]
             self.node.telemetry.count(Event.CLIENT_RECLAIMED)
 
-    def reads(self, connection: ClientConnection) -> None:
+    def mark_reading(self, connection: ClientConnection) -> None:
         """A part of a request has come. A new connection's time goes on from when it connected."""
         self._idle.pop(connection, None)
         if connection not in self._new:
             self._reading.setdefault(connection, self._loop.time())
 
-    def works(self, connection: ClientConnection) -> None:
+    def mark_active(self, connection: ClientConnection) -> None:
         self._new.pop(connection, None)
         self._idle.pop(connection, None)
         self._reading.pop(connection, None)
 
-    def lingers(self, connection: ClientConnection) -> None:
-        self.works(connection)
+    def start_lingering_close(self, connection: ClientConnection) -> None:
+        self.mark_active(connection)
         self._lingering[connection] = self._loop.time()
         if len(self._lingering) > LINGER_PART * self._most:
             first = next(iter(self._lingering))
@@ -256,7 +256,7 @@
 
     # The end.
 
-    async def stop(self, serve_on: float, within: float) -> None:
+    async def shut_down(self, serve_on: float, within: float) -> None:
         """Serve on for a while, since clients go on coming; then finish what is held, and end."""
         self.stopping = True
         end = self._loop.time() + within
@@ -276,7 +276,7 @@
         while self._connections and self._loop.time() < end:
             await asyncio.sleep(DRAIN_LOOK)  # first of all, what those just taken in have sent is read
             self._close_unused()
-        self.node.fail_all()
+        self.node.fail_all_requests()
         await asyncio.sleep(DRAIN_LOOK)
 
     def _is_awaited(self) -> bool:
@@ -309,14 +309,14 @@
 class ClientConnection(asyncio.Protocol):
     """One client's connection; its requests are served one after the other."""
 
-    def __init__(self, front: Front, since: int) -> None:
+    def __init__(self, front: Listener, since: int) -> None:
         """`since`, in monotonic ns: the client may have connected then."""
         self._front = front
         self._unread_since = since  # what lies with the kernel came after; 0: nothing old lies there
         self._end_poll = select.poll()  # shows that the client sends no more, or has reset the connection
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._reader = Reader(front.config)
+        self._reader = RequestParser(front.config)
         self._number = 0  # of the request that the node holds; 0: none
         self._busy = False
         self._keep_alive = True
@@ -341,7 +341,7 @@
             if age is not None:
                 self._unread_since = max(self._unread_since, now - age)
         self._end_poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
-        self._front.came(self)
+        self._front.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._ends = True
@@ -350,8 +350,8 @@
             self._slow_reader.cancel()
         number, self._number = self._number, 0
         if number:
-            self._front.node.client_gone(number)
-        self._front.lost(self)
+            self._front.node.on_client_disconnected(number)
+        self._front.on_disconnected(self)
 
     def data_received(self, data: bytes) -> None:
         if self._ends:
@@ -359,7 +359,7 @@
             if self._dropped > LINGER_BYTES:
                 self.abort()
             return
-        arrived = self._front.node.holds.earliest_arrival()
+        arrived = self._front.node.hold_detector.earliest_arrival()
         self._reader.feed(data, min(arrived, self._unread_since) if self._unread_since else arrived)
         self._next()
         if not self._paused:
@@ -370,11 +370,11 @@
         closed: what has not been sent on by now is not sent on any more."""
         self._half_closed = True
         if self._number:
-            self._front.node.client_ends(self._number)
+            self._front.node.on_client_half_closed(self._number)
         waits = self._busy or bool(self._reader.ready) or self._reader.has_unread()
         return waits and not self._ends
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it sends no more. What has not been read hides its end from the loop, as does a loop that
         comes late, but not from the kernel. About 1 us."""
         transport = self._transport
@@ -390,8 +390,8 @@
         if self._shows(0):  # reset
             self.abort()
             return
-        if self.has_left() and self._number:
-            self._front.node.client_ends(self._number)
+        if self.has_disconnected() and self._number:
+            self._front.node.on_client_half_closed(self._number)
         self._look = self._loop.call_later(END_LOOK, self._look_on)
 
     def _shows(self, events: int) -> bool:
@@ -419,13 +419,13 @@
             reader.go_on()
             if reader.ready:
                 self._busy = True
-                self._front.works(self)
+                self._front.mark_active(self)
                 self._serve(reader.ready.popleft())
             elif reader.error:
                 # Where framing is lost nothing that follows can be read; what came before is answered.
                 self._busy = True
                 self._keep_alive = False
-                self.answer(reader.error, [], b"")
+                self.send_response(reader.error, [], b"")
             else:
                 break
         self._in_turn = False
@@ -449,45 +449,45 @@
         if self._half_closed:
             self.close()
         elif reader.is_partial():
-            self._front.reads(self)
+            self._front.mark_reading(self)
             if reader.wants_continue():
                 transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         elif self not in self._front._new:
-            self._front.idles(self)
+            self._front.mark_idle(self)
 
-    def _serve(self, incoming: Incoming) -> None:
+    def _serve(self, incoming: ParsedRequest) -> None:
         self._keep_alive = incoming.keep_alive
         self._deadline = 0
         if incoming.path == UP:
-            up = self._front.node.can_serve() and not self._front.stopping
-            self.answer(200 if up else 503, [], b"")
+            up = self._front.node.has_endpoints() and not self._front.stopping
+            self.send_response(200 if up else 503, [], b"")
             return
         if self._half_closed:
-            self.answer(503, self._front.node.advice(), b"")
+            self.send_response(503, self._front.node.retry_after_headers(), b"")
             return
         call = self._call(incoming)
-        self._deadline = call.deadline
-        number = self._front.node.take(call)
+        self._deadline = call.deadline_ns
+        number = self._front.node.accept_request(call)
         if self._busy:
             self._number = number
 
-    def _call(self, incoming: Incoming) -> Call:
+    def _call(self, incoming: ParsedRequest) -> ClientRequest:
         """The request in the node's terms."""
         fields, tenants = incoming.fields, self._front.config.tenant_indices
         key = fields.get(b"x-key")
-        return Call(
+        return ClientRequest(
             client=self,
-            identity=fields[b"x-request-id"],
+            request_id=fields[b"x-request-id"],
             head=incoming.forwarded_head(),
             body=bytes(incoming.body),
             class_index=incoming.class_index,
-            tenant=tenants.get(fields.get(b"x-tenant", b""), len(tenants)),
-            key=key_number(key) if key else 0,
-            resubmitted=fields.get(b"x-retry") == b"1",
-            deadline=incoming.arrived + incoming.patience,
+            tenant_index=tenants.get(fields.get(b"x-tenant", b""), len(tenants)),
+            key=hash_key(key) if key else 0,
+            is_client_retry=fields.get(b"x-retry") == b"1",
+            deadline_ns=incoming.arrived_at_ns + incoming.timeout_ns,
         )
 
-    def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    def send_response(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         transport = self._transport
         assert transport is not None
         self._number = 0
@@ -534,7 +534,7 @@
             if self._paused:
                 transport.resume_reading()
             transport.write_eof()
-            self._front.lingers(self)
+            self._front.start_lingering_close(self)
 
     def close(self) -> None:
         if self._transport is not None:
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -38,7 +38,7 @@
 """Headers that the node or a server goes by: of two, each reader might believe another one."""
 
 
-class Rejected(Exception):
+class InvalidRequestError(Exception):
     """The request can't be used, nor what follows it on its connection."""
 
     def __init__(self, status: int) -> None:
@@ -46,11 +46,11 @@
         self.status = status
 
 
-class Incoming:
+class ParsedRequest:
     """One request; whole once its reader hands it out."""
 
     __slots__ = (
-        "arrived",
+        "arrived_at_ns",
         "body",
         "class_index",
         "expects",
@@ -59,8 +59,8 @@
         "keep_alive",
         "method",
         "path",
-        "patience",
         "size",
+        "timeout_ns",
         "url",
     )
 
@@ -73,8 +73,8 @@
         self.keep_alive = True
         self.expects = False
         self.class_index = 0
-        self.patience = 0  # ns
-        self.arrived = 0  # monotonic ns
+        self.timeout_ns = 0  # ns
+        self.arrived_at_ns = 0  # monotonic ns
 
     def check(self, config: Config) -> None:
         """Once the head has come; raises Rejected. The parser has seen to the framing."""
@@ -82,36 +82,36 @@
         if self.path == UP:
             return
         if self.path != API:
-            raise Rejected(404)
+            raise InvalidRequestError(404)
         if self.method not in (b"GET", b"POST"):
-            raise Rejected(405)
+            raise InvalidRequestError(405)
         fields = self.fields
         index = config.class_indices.get(fields.get(b"x-class", b""))
         if index is None or IDENTITY.fullmatch(fields.get(b"x-request-id", b"")) is None:
-            raise Rejected(400)
+            raise InvalidRequestError(400)
         repeat = config.policy_settings.classes[index].idempotency
         # What a server would take for another kind of request must not go out under this class's rules.
         if (self.method == b"GET") is not (repeat is Idempotency.IDEMPOTENT):
-            raise Rejected(400)
+            raise InvalidRequestError(400)
         if repeat is Idempotency.IDEMPOTENCY_KEY and not fields.get(b"idempotency-key"):
-            raise Rejected(400)
-        self.class_index, self.patience = index, config.max_deadlines_ns[index]
+            raise InvalidRequestError(400)
+        self.class_index, self.timeout_ns = index, config.max_deadlines_ns[index]
         if b"x-deadline" in fields:
             found = DEADLINE.fullmatch(fields[b"x-deadline"])
             if found is None:
-                raise Rejected(400)
+                raise InvalidRequestError(400)
             # No client waits for longer than its class does; an entry for years would be kept for years.
-            self.patience = min(self.patience, int(float(found[1]) * UNITS[found[2]]))
+            self.timeout_ns = min(self.timeout_ns, int(float(found[1]) * UNITS[found[2]]))
 
     def check_length(self) -> None:
         length = self.fields.get(b"content-length", b"0")
         if int(length) > BODY_MOST:  # the parser let only digits pass
-            raise Rejected(413)
+            raise InvalidRequestError(413)
         coding = self.fields.get(b"transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
-            raise Rejected(501)
+            raise InvalidRequestError(501)
         if self.method == b"GET" and (int(length) or coding is not None):
-            raise Rejected(400)
+            raise InvalidRequestError(400)
 
     def forwarded_head(self) -> bytes:
         """Request line and headers for a server, but for X-Deadline and the blank line."""
@@ -119,17 +119,17 @@
         return b"%s %s HTTP/1.1\r\n%s%s" % (self.method, self.url, b"".join(self.headers), length)
 
 
-class Reader:
+class RequestParser:
     """Bytes to requests. Ends with the first one that is refused: `error` is the status of its answer."""
 
     def __init__(self, config: Config) -> None:
-        self.ready: deque[Incoming] = deque()
+        self.ready: deque[ParsedRequest] = deque()
         self.error = 0
         self._config = config
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._rest = b""
         self._arrived = 0  # monotonic ns, of the first byte of the rest
-        self._incoming: Incoming | None = None
+        self._incoming: ParsedRequest | None = None
         self._in_body = False
 
     def close(self) -> None:
@@ -159,7 +159,7 @@
             self._parser.feed_data(piece)
         except httptools.HttpParserCallbackError as problem:
             cause = problem.__context__
-            self.error = cause.status if isinstance(cause, Rejected) else 400
+            self.error = cause.status if isinstance(cause, InvalidRequestError) else 400
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.error = 400
         incoming = self._incoming
@@ -189,7 +189,7 @@
     # What the parser finds.
 
     def on_message_begin(self) -> None:
-        self._incoming = Incoming()
+        self._incoming = ParsedRequest()
         self._in_body = False
 
     def on_url(self, url: bytes) -> None:
@@ -203,10 +203,10 @@
             return  # a trailer
         lower, value = name.lower(), value.strip()
         if lower in SINGLE and lower in incoming.fields:
-            raise Rejected(400)
+            raise InvalidRequestError(400)
         incoming.fields[lower] = value
         if len(incoming.headers) >= FIELDS_MOST:
-            raise Rejected(431)
+            raise InvalidRequestError(431)
         if lower not in NOT_FORWARDED:
             incoming.headers.append(b"%s: %s\r\n" % (name, value))
 
@@ -225,11 +225,11 @@
         assert incoming is not None
         incoming.body += data
         if len(incoming.body) > BODY_MOST:
-            raise Rejected(413)
+            raise InvalidRequestError(413)
 
     def on_message_complete(self) -> None:
         incoming, self._incoming = self._incoming, None
         assert incoming is not None and self._parser is not None
         incoming.keep_alive = self._parser.should_keep_alive()
-        incoming.arrived = self._arrived
+        incoming.arrived_at_ns = self._arrived
         self.ready.append(incoming)
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -32,7 +32,7 @@
     at: int  # monotonic ns
 
 
-class StartTimes:
+class ServerStartTimes:
     """The start of each server that the list has named."""
 
     def __init__(self) -> None:
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -19,12 +19,12 @@
 
 import uvloop
 
-from moleport.__main__ import assemble
+from moleport.__main__ import build_node
 from moleport.config.endpoints import DiscoveredEndpoint, DiscoveryUpdate, parse_update
 from moleport.config.node_config import Config, load
-from moleport.node.attempt import Pools
-from moleport.node.discovery_watch import Discovery, _Watch
-from moleport.node.dispatcher import digest
+from moleport.node.attempt import ConnectionPools
+from moleport.node.discovery_watch import DiscoveryClient, WatchConnection
+from moleport.node.dispatcher import hash_name
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 
@@ -174,7 +174,7 @@
     of new servers comes, the same with a tenth of them replaced, and a change of one; and the ms by the clock
     from the first byte of each until all of it was told. Without the module only the node's side works."""
     agent = Agent()
-    node, _ = assemble(configuration(agent.address))
+    node, _ = build_node(configuration(agent.address))
     if not module:
         node._balancer = _NoModule()  # type: ignore[assignment]
     # What a running node has set aside, the collector does not look at again.
@@ -198,7 +198,7 @@
                 await asyncio.sleep(0)
         found[f"{name} told"] = (perf_counter() - begun) * 1e3
         found[name] = turns.stop()
-        assert digest(entry(numbers[-1])["id"]) in node._ready
+        assert hash_name(entry(numbers[-1])["id"]) in node._ready
         assert len(node._ready) == size + (version == 4)
     node._discovery.close()
     agent.close()
@@ -210,8 +210,8 @@
     """ms of processor time from a whole list's bytes to its entries."""
     data = text(2, True, range(size))
     seen: list[DiscoveryUpdate] = []
-    owner = Discovery(("127.0.0.1", 1), 0, seen.append, lambda: None)
-    owner._watch = watch = _Watch(owner)
+    owner = DiscoveryClient(("127.0.0.1", 1), 0, seen.append, lambda: None)
+    owner._watch = watch = WatchConnection(owner)
     begun = thread_time()
     for begin in range(0, len(data), PIECE):
         watch.on_body(data[begin : begin + PIECE])
@@ -224,14 +224,14 @@
 
 async def change_time(size: int, module: bool) -> float:
     """ms of processor time for a change of one server of a list, from its bytes on; the median of twenty."""
-    node, _ = assemble(configuration("127.0.0.1:1"))
+    node, _ = build_node(configuration("127.0.0.1:1"))
     if not module:
         node._balancer = _NoModule()  # type: ignore[assignment]
     node._list_came(DiscoveryUpdate(1, True, hosts(size)))
     while len(node._ready) < size:
         await asyncio.sleep(0)
     discovery = node._discovery
-    discovery._watch = watch = _Watch(discovery)
+    discovery._watch = watch = WatchConnection(discovery)
     found = []
     for number in range(20):
         data = text(2 + number, False, [size + number])
@@ -258,20 +258,20 @@
     found: dict[str, float] = {}
     tracemalloc.start()
     try:
-        node, _ = assemble(configuration("127.0.0.1:1"))
+        node, _ = build_node(configuration("127.0.0.1:1"))
         node._balancer = _NoModule()  # type: ignore[assignment]
         with held(found, "the node's side", size):
             node._list_came(DiscoveryUpdate(1, True, hosts(size)))
             while len(node._ready) < size:
                 await asyncio.sleep(0)
-        pools = Pools(100, 10**9, 10**9)
+        pools = ConnectionPools(100, 10**9, 10**9)
         balancer = Balancer(node._config.policy_settings, 1)
         with held(found, "entries", size):
             entries = hosts(size)
         servers = tuple(node._server(host) for host in entries)
         with held(found, "pools", size):
             for host, server in zip(entries, servers, strict=True):
-                pools.enrol(server.id, host.address, server.started_at_ns)
+                pools.add_endpoint(server.id, host.address, server.started_at_ns)
         with held(found, "module", size):
             balancer.handle(1, api.EndpointUpdate(api.EndpointUpdateKind.SNAPSHOT, servers))
     finally:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from moleport.__main__ import assemble
+from moleport.__main__ import build_node
 from moleport.config.node_config import Config, load
-from moleport.node.dispatcher import Node
-from moleport.node.listener import Front
+from moleport.node.dispatcher import Dispatcher
+from moleport.node.listener import Listener
 from moleport.policy import interface as api
 
 PATIENCE = 20.0  # s: only a test that has failed waits so long
@@ -251,7 +251,7 @@
 class Spy:
     """The balancer of a node, with its events noted; a test may put a decision of its own in their place."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: Dispatcher) -> None:
         self.events: list[api.Event] = []
         self.instead: Callable[[api.Event], list[api.Action] | None] = lambda event: None
         self._balancer = node._balancer
@@ -278,8 +278,8 @@
         self._document = document
         self._stack = AsyncExitStack()
         self.config: Config
-        self.node: Node
-        self.front: Front
+        self.node: Dispatcher
+        self.front: Listener
         self.spy: Spy
         self.address: tuple[str, int]
 
@@ -288,7 +288,7 @@
             path = Path(folder, "config.json")
             path.write_text(json.dumps(self._document))
             self.config = load({"BALANCER_CONFIG": str(path)})
-        self.node, self.front = assemble(self.config)
+        self.node, self.front = build_node(self.config)
         self.spy = Spy(self.node)
         self.node._balancer.start = self.spy._balancer.start  # type: ignore[method-assign]
         self.address = self.front.listen()
@@ -296,7 +296,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.front.stop(0.0, 0.0)
+        await self.front.shut_down(0.0, 0.0)
         self.node._discovery.close()
 
     async def client(self) -> Client:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -24,7 +24,7 @@
 
 from moleport.config.endpoints import parse_update
 from moleport.node import attempt as upstream
-from moleport.node.dispatcher import digest
+from moleport.node.dispatcher import hash_name
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
@@ -141,7 +141,7 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: len(server.seen) == 3)
-            rig.node._do(api.CloseIdleConnections(digest("s-1")))
+            rig.node._do(api.CloseIdleConnections(hash_name("s-1")))
             await until(lambda: server.open == 1)
 
     run(test())
@@ -272,18 +272,18 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            made = upstream.Connection.connection_made
+            made = upstream.ServerConnection.connection_made
 
-            def ends(connection: upstream.Connection, transport: asyncio.BaseTransport) -> None:
+            def ends(connection: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
                 made(connection, transport)
                 if how == "gone":
                     (number,) = rig.node._open
-                    rig.node.client_gone(number)
+                    rig.node.on_client_disconnected(number)
                 else:
                     server.state = "Gone"
                     rig.node._list_came(change(server))
 
-            monkeypatch.setattr(upstream.Connection, "connection_made", ends)
+            monkeypatch.setattr(upstream.ServerConnection, "connection_made", ends)
             client.writer.write(request("order"))
             await until(lambda: rig.spy.outcomes())
             await until(lambda: server.connections and not server.open)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 
 from moleport.config.endpoints import parse_address
 from moleport.node import discovery_watch as discovery
-from moleport.node.dispatcher import WATCH_DOUBLINGS, WATCH_PAUSE, WATCH_PAUSE_PART, digest
+from moleport.node.dispatcher import WATCH_DOUBLINGS, WATCH_PAUSE, WATCH_PAUSE_PART, hash_name
 from moleport.policy import balancer as balance
 from moleport.policy import interface as api
 from moleport.policy.interface import EndpointState, EndpointUpdateKind
@@ -36,14 +36,14 @@
             source.push(9, two, older)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.DELTA))
             server, other = rig.spy.lists(EndpointUpdateKind.DELTA)[0].endpoints
-            assert (server.id, server.state) == (digest("s-2"), EndpointState.READY)
+            assert (server.id, server.state) == (hash_name("s-2"), EndpointState.READY)
             age = asyncio.get_running_loop().time() * 1e9 - server.started_at_ns
             assert 0 <= age < 1e9  # the newest start of the first list is now, whatever the wall clock says
             assert server.started_at_ns - other.started_at_ns == 5 * 10**9
-            assert rig.node._ready == {digest("s-1"), digest("s-2"), digest("s-3")}
+            assert rig.node._ready == {hash_name("s-1"), hash_name("s-2"), hash_name("s-3")}
             source.push(12, two, full=True)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
-            assert rig.node._ready == {digest("s-2")}
+            assert rig.node._ready == {hash_name("s-2")}
             source.drop()
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
             rig.watch()
@@ -89,7 +89,7 @@
                 source.push_bytes(data[begin : begin + size])
             await until(lambda: len(rig.spy.lists(EndpointUpdateKind.SNAPSHOT)) == 3)
             assert [len(told.endpoints) for told in rig.spy.lists(EndpointUpdateKind.SNAPSHOT)] == [1, 1, 2]
-            assert rig.node._ready == {digest('s-"{'), digest("s-\\")}
+            assert rig.node._ready == {hash_name('s-"{'), hash_name("s-\\")}
             assert not rig.spy.lists(EndpointUpdateKind.FAILED) and len(source.targets) == 1
 
     run(test())
@@ -122,7 +122,7 @@
                         await asyncio.sleep(0.01)
                 await until(lambda: len(source.targets) == 2)
                 source.push(9, server, full=True)
-                await until(lambda: rig.node.can_serve())
+                await until(lambda: rig.node.has_endpoints())
 
     run(test())
 
@@ -174,7 +174,7 @@
             source.drop()
             await asyncio.sleep(0.02)
             assert len(rig.spy.lists(EndpointUpdateKind.FAILED)) == 1
-            assert rig.node._ready == {digest("s-1")}
+            assert rig.node._ready == {hash_name("s-1")}
 
     run(test())
 
@@ -194,12 +194,12 @@
             source.push(9, one, full=True)
             source.push(8, one, two, full=True)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
-            assert rig.node._ready == {digest("s-1")}
+            assert rig.node._ready == {hash_name("s-1")}
             rig.watch()
             await until(lambda: len(source.targets) == 2)
             assert source.targets[1] == "GET /discovery/hosts?watch=1&from=0 HTTP/1.1"
             source.push(3, two, full=True)
-            await until(lambda: rig.node._ready == {digest("s-2")})
+            await until(lambda: rig.node._ready == {hash_name("s-2")})
 
     run(test())
 
@@ -217,7 +217,7 @@
                 rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
                 await until(lambda: new.targets)
                 new.push(2, server, full=True)
-                await until(rig.node.can_serve)
+                await until(rig.node.has_endpoints)
                 for _ in range(10):  # longer than any pause
                     await asyncio.sleep(0.03)
                     new.push_bytes(b"\n")
@@ -310,7 +310,7 @@
             if failure == "refused":
                 await source.listen()
             begun = asyncio.get_running_loop().time()
-            await until(lambda: rig.node._ready == {digest("s-1")})
+            await until(lambda: rig.node._ready == {hash_name("s-1")})
             return asyncio.get_running_loop().time() - begun
 
 
@@ -405,7 +405,7 @@
             assert not rig.spy.lists(EndpointUpdateKind.FAILED)
             rig.node.reload(replace(rig.config, discovery_address=parse_address("127.0.0.1:1")))
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
-            assert rig.node._ready == {digest("s-1")}
+            assert rig.node._ready == {hash_name("s-1")}
             assert (len(old.targets), len(new.targets)) == (1, 1)
 
     run(test())
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -25,7 +25,7 @@
 )
 from moleport.node import discovery_watch as discovery
 from moleport.node import dispatcher as node
-from moleport.node.dispatcher import SLICE, digest
+from moleport.node.dispatcher import SLICE, hash_name
 from moleport.policy import interface as api
 from moleport.policy.interface import EndpointState, EndpointUpdateKind
 from scale.lists import measure
@@ -71,7 +71,7 @@
 
 
 def ids(numbers: Iterable[int]) -> set[api.EndpointId]:
-    return {digest(f"s-{number}") for number in numbers}
+    return {hash_name(f"s-{number}") for number in numbers}
 
 
 async def ask_on(client: Client) -> None:
@@ -184,8 +184,8 @@
             assert {one.id for one in told(rig)[-1].endpoints} == ids([5000, 5001, 5002])
             await all_told(rig)
             view = module_view(rig)
-            assert view[digest("s-5000")].state is EndpointState.DRAINING
-            assert view[digest("s-5001")].weight == view[digest("s-5002")].weight == 3.0
+            assert view[hash_name("s-5000")].state is EndpointState.DRAINING
+            assert view[hash_name("s-5001")].weight == view[hash_name("s-5002")].weight == 3.0
             assert len(view) == MANY and rig.node._ready == ids(range(MANY)) - ids([5000])
             # A whole list, short or long, takes the place of all that is outstanding.
             for count in (3, SLICE + 1):
@@ -228,7 +228,9 @@
                 held |= {host.id: host for host in came.endpoints}
                 held = {name: host for name, host in held.items() if host.state is not EndpointState.REMOVED}
                 rig.node._list_came(came)
-                serving = {digest(name) for name, host in held.items() if host.state is EndpointState.READY}
+                serving = {
+                    hash_name(name) for name, host in held.items() if host.state is EndpointState.READY
+                }
                 # Those that left are out of use before anything else happens; others may come later.
                 assert rig.node._ready <= serving and ready_in_module(rig) <= serving
                 for _ in range(random.choice((0, 0, 1, 3))):
@@ -236,9 +238,11 @@
             await all_told(rig)
             assert rig.node._hosts == held
             assert ready_in_module(rig) == rig.node._ready == serving
-            assert module_view(rig) == {digest(name): rig.node._server(host) for name, host in held.items()}
+            assert module_view(rig) == {
+                hash_name(name): rig.node._server(host) for name, host in held.items()
+            }
             for name, host in held.items():
-                pool = rig.node._pools.get(digest(name))
+                pool = rig.node._pools.get(hash_name(name))
                 assert (pool is not None) == (host.state is EndpointState.READY)
                 assert pool is None or pool.address == host.address
             sent = {len(event.endpoints) for event in told(rig) if event.kind is EndpointUpdateKind.DELTA}
@@ -262,7 +266,7 @@
                 await until(lambda: len(rig.node._ready) == MANY)
                 assert status(await client.ask(request())) == 200
                 source.push_bytes(text(version + 1, []))
-                await until(lambda: not rig.node.can_serve())
+                await until(lambda: not rig.node.has_endpoints())
                 assert not rig.node._hosts and not ready_in_module(rig)
                 assert status(await client.ask(request())) == 503
 
@@ -292,11 +296,11 @@
             await all_told(rig)
             (last,) = parse_update({"version": 1, "servers": doubled[-1:]}).endpoints
             assert ready_in_module(rig) == rig.node._ready
-            pool = rig.node._pools.get(digest("s-1"))
+            pool = rig.node._pools.get(hash_name("s-1"))
             assert (pool is not None) == (last.state is EndpointState.READY)
             if pool is not None:
                 assert pool.address == last.address
-                assert module_view(rig)[digest("s-1")] == rig.node._server(last)
+                assert module_view(rig)[hash_name("s-1")] == rig.node._server(last)
 
     run(test())
 
@@ -438,7 +442,7 @@
             async with Rig(document) as rig:
                 await until(lambda: source.targets)
                 source.push_bytes(text(9, entries(range(MANY))))
-                await rig.node.wait_synced()
+                await rig.node.wait_until_endpoints_known()
                 assert rig.node._ready == ids(range(MANY))
 
     run(test())
@@ -484,7 +488,7 @@
                     assert idle and idle <= set(pools.with_idle)
                     assert len(pools.with_idle) <= 15
                     open_before, pools._sockets_most = pools.sockets, pools.sockets
-                    assert pools.room()  # the one that is idle longest is closed
+                    assert pools.make_room()  # the one that is idle longest is closed
                     await until(lambda before=open_before: pools.sockets < before)  # type: ignore[misc]
                     pools._sockets_most = 400
                     await until(lambda: not pools.sockets and not pools.with_idle)
@@ -514,16 +518,16 @@
         answer_within = 60.0
         seen: list[Any]
 
-        def received(self, _: discovery._Watch, data: bytes) -> None:
+        def received(self, _: discovery.WatchConnection, data: bytes) -> None:
             self.seen.append(json.loads(data))
 
-        def is_current(self, _: discovery._Watch) -> bool:
+        def is_current(self, _: discovery.WatchConnection) -> bool:
             return False
 
     async def test() -> None:
         owner = Owner()
         owner.seen = []
-        watch = discovery._Watch(owner)  # type: ignore[arg-type]
+        watch = discovery.WatchConnection(owner)  # type: ignore[arg-type]
         data = b"\n".join(json.dumps(one, indent=indent, ensure_ascii=False).encode() for one in found)
         for begin in range(0, len(data), size):
             watch.on_body(data[begin : begin + size])
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -35,7 +35,7 @@
 
 from moleport.config.endpoints import parse_update
 from moleport.node import attempt as upstream
-from moleport.node.dispatcher import digest
+from moleport.node.dispatcher import hash_name
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
@@ -157,7 +157,7 @@
                     assert whole or by_other
             await until(lambda: not one.open)
             results = {
-                outcome.result for outcome in rig.spy.outcomes() if outcome.endpoint_id == digest("s-1")
+                outcome.result for outcome in rig.spy.outcomes() if outcome.endpoint_id == hash_name("s-1")
             }
             assert results == {AttemptResult.OK if whole else AttemptResult.RESET}
 
@@ -411,7 +411,7 @@
     def decide(event: api.Event) -> list[api.Action] | None:
         if isinstance(event, api.Request):
             sent[event.id] = monotonic_ns()
-            return [api.Forward(event.id, digest("s-1"), limits[event.id % len(limits)])]
+            return [api.Forward(event.id, hash_name("s-1"), limits[event.id % len(limits)])]
         if isinstance(event, api.AttemptOutcome):
             took[event.request_id] = monotonic_ns() - sent[event.request_id]
             return [api.Fail(event.request_id)]
@@ -452,7 +452,7 @@
 
     async def test() -> None:
         async with Server("s-1", script) as server, Rig(configuration(server)) as rig:
-            decided = [api.Forward(1, digest("s-1"), int(held / 2 * 1e9))]
+            decided = [api.Forward(1, hash_name("s-1"), int(held / 2 * 1e9))]
             rig.spy.instead = lambda event: decided if isinstance(event, api.Request) else None
             client = await rig.client()
             assert status(await client.ask(request())) == 200
@@ -569,13 +569,13 @@
 ) -> None:
     """The server takes nothing in: the request stays partly in the node, as its attempt ends. What was with
     the node is not written after that, though the server then reads all that there is."""
-    made = upstream.Connection.connection_made
+    made = upstream.ServerConnection.connection_made
 
-    def with_small_buffer(self: upstream.Connection, transport: asyncio.BaseTransport) -> None:
+    def with_small_buffer(self: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-    monkeypatch.setattr(upstream.Connection, "connection_made", with_small_buffer)
+    monkeypatch.setattr(upstream.ServerConnection, "connection_made", with_small_buffer)
 
     async def test() -> None:
         listening = socket.create_server(("127.0.0.1", 0))
@@ -633,21 +633,22 @@
 
 
 @pytest.mark.parametrize(
-    ("bound", "result"), [("expires", AttemptResult.CONNECT_FAILED), ("write_by", AttemptResult.NOT_SENT)]
+    ("bound", "result"),
+    [("expires_at_ns", AttemptResult.CONNECT_FAILED), ("write_deadline_ns", AttemptResult.NOT_SENT)],
 )
 def test_a_dial_that_comes_up_as_its_time_is_over_carries_nothing(
     bound: str, result: AttemptResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made = upstream.Connection.connection_made
+    made = upstream.ServerConnection.connection_made
 
-    def late(self: upstream.Connection, transport: asyncio.BaseTransport) -> None:
+    def late(self: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         (attempt,) = self._pool.dialing
         setattr(attempt, bound, 1)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            monkeypatch.setattr(upstream.Connection, "connection_made", late)
+            monkeypatch.setattr(upstream.ServerConnection, "connection_made", late)
             client = await rig.client()
             assert status(await client.ask(request("order"))) == 503
             assert [one.result for one in rig.spy.outcomes()] == [result]
@@ -663,12 +664,12 @@
 ) -> None:
     """It was decided on within the window, but its connection came up, or took its last bytes, only when the
     servers had forgotten the key: the request ran twice."""
-    made = upstream.Connection.connection_made
+    made = upstream.ServerConnection.connection_made
     window = 1.0  # s
     listed = asyncio.Event()
     arrived: list[Message] = []
 
-    def with_small_buffer(self: upstream.Connection, transport: asyncio.BaseTransport) -> None:
+    def with_small_buffer(self: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
@@ -709,7 +710,7 @@
                     accepting.close()
                     assert not arrived
 
-    monkeypatch.setattr(upstream.Connection, "connection_made", with_small_buffer)
+    monkeypatch.setattr(upstream.ServerConnection, "connection_made", with_small_buffer)
     run(test())
 
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from moleport.config.endpoints import DiscoveredEndpoint
-from moleport.node.server_start_times import REMEMBERED_MOST, StartTimes
+from moleport.node.server_start_times import REMEMBERED_MOST, ServerStartTimes
 from moleport.policy.interface import EndpointState
 
 MS = 1_000_000
@@ -15,18 +15,18 @@
     return DiscoveredEndpoint(identity, ("127.0.0.1", 1), "room", "box", 0, state, 1.0, started_ms)
 
 
-def learnt(times: StartTimes, now: int, *hosts: DiscoveredEndpoint) -> list[int]:
+def learnt(times: ServerStartTimes, now: int, *hosts: DiscoveredEndpoint) -> list[int]:
     times.learn(hosts, now)
     return [times.translate(one) for one in hosts]
 
 
 def test_the_newest_start_of_the_first_list_is_now_and_the_others_are_as_much_older() -> None:
     hosts = [host("a", FIGURE), host("b", FIGURE - 3000), host("c", 0)]
-    assert learnt(StartTimes(), NOW, *hosts) == [NOW, NOW - 3000 * MS, 0]
+    assert learnt(ServerStartTimes(), NOW, *hosts) == [NOW, NOW - 3000 * MS, 0]
 
 
 def test_what_the_configuration_named_keeps_its_start_as_the_agents_list_comes() -> None:
-    times = StartTimes()
+    times = ServerStartTimes()
     learnt(times, NOW, host("a", FIGURE))
     assert learnt(times, NOW + 5, host("d", FIGURE - 4000)) == [NOW + 5 - 4000 * MS]  # beside what is known
     hosts = [host("a", FIGURE), host("b", FIGURE + 2000), host("c", FIGURE - 1000)]
@@ -34,7 +34,7 @@
 
 
 def test_a_start_that_is_told_later_is_now_whatever_its_figure() -> None:
-    times = StartTimes()
+    times = ServerStartTimes()
     learnt(times, NOW, host("a", FIGURE), host("b", FIGURE))
     times.end_first_list()
     for turn, figure in enumerate((FIGURE + 5, FIGURE - 3_600_000, FIGURE + 3_600_000), 1):
@@ -44,7 +44,7 @@
 
 
 def test_a_server_that_left_the_list_returns_with_its_start() -> None:
-    times = StartTimes()
+    times = ServerStartTimes()
     learnt(times, NOW, host("a", FIGURE))
     times.end_first_list()
     learnt(times, NOW + 1, host("a", FIGURE + 9, EndpointState.REMOVED))  # its figure may be none
@@ -53,7 +53,7 @@
 
 
 def test_starts_of_servers_that_left_are_not_kept_for_ever_and_listed_ones_are() -> None:
-    times = StartTimes()
+    times = ServerStartTimes()
     listed = [f"listed-{number}" for number in range(10)]
     learnt(times, NOW, *(host(name, FIGURE) for name in listed))
     times.end_first_list()
