--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -19,15 +19,14 @@
 
 from moleport.policy import interface as api
 from moleport.policy.hashing import (
-    FULL_PART,
-    LEAST_WEIGHT,
-    MOST_WEIGHT,
-    UNITS,
-    Candidates,
-    HeavyHitters,
-    mix,
-    to_units,
+    HASH_RATIO_SCALE,
+    MAX_WEIGHT,
+    MIN_WEIGHT,
+    WEIGHT_UNITS,
+    mix64,
+    to_weight_units,
 )
+from moleport.policy.hot_keys import HotKeyTracker
 from moleport.policy.interface import (
     NOT_EXECUTED,
     AttemptResult,
@@ -37,6 +36,7 @@
     EndpointUpdateKind,
     Idempotency,
 )
+from moleport.policy.zones import CandidateIndex
 
 SECOND = 1_000_000_000  # ns
 
@@ -296,7 +296,7 @@
         self._breakers = [Breaker(kind.latency_objective_ns) for kind in settings.classes]
         self._backends: dict[api.EndpointId, Backend] = {}
         self._ready: list[Backend] = []  # by id
-        self._candidates: Candidates[Backend] = Candidates(settings.zone)
+        self._candidates: CandidateIndex[Backend] = CandidateIndex(settings.zone)
         self._changed: dict[api.EndpointId, None] = {}  # entries that the list just changed
         # Of those that are ready, by what ticks look at; a dict's order is the same in each process.
         self._ejected: dict[Backend, None] = {}
@@ -321,7 +321,7 @@
         self._kinds: defaultdict[int, Kind] = defaultdict(Kind)
         self._key_queues: dict[int, KeyQueue] = {}  # by key
         self._retry_budget = RETRY_BURST
-        self._hitters = HeavyHitters()  # among the keys
+        self._hitters = HotKeyTracker()  # among the keys
         self._answered = 0  # requests, by warm servers in this window
         self._warm_answers = self._warm_time = self._time = 0.0  # the same, their weight by time, and time
         self._rate = 0.0  # answers per nanosecond and unit of a warm server's weight, lately
@@ -386,7 +386,7 @@
     def _is_idle(self) -> bool:
         """By their own reports: a long tail is not from crowding then. They are late, so the aim binds."""
         told = "utilization" in self._settings.load_report_fields
-        return told and self._busy < IDLE_BELOW * len(self._ready) * UNITS
+        return told and self._busy < IDLE_BELOW * len(self._ready) * WEIGHT_UNITS
 
     def _start_cap(self) -> float:
         return START_PER_SERVER * len(self._ready) / self._settings.node_count
@@ -444,7 +444,7 @@
         kind = self._settings.classes[request.class_index]
         self._window_requests += 1
         if request.key:
-            self._hitters.add(request.key)
+            self._hitters.record(request.key)
         expires = now + request.remaining_ns
         entry = Open(
             request,
@@ -663,16 +663,16 @@
         if ready := self._ready:
             find, kinds = self._candidates.find, self._kinds
             key = entry.request.key or self._random.getrandbits(64)
-            spread = self._hitters.spread.get(key, 1)
+            spread = self._hitters.fan_out.get(key, 1)
             first = self._random.randrange(spread) if spread > 1 else 0
             for draw in range(first, first + DRAWS):
-                place = mix(key + draw)
+                place = mix64(key + draw)
                 backend = find(place, not (draw - first) % 2)
                 if backend is not None:
                     share = kinds[backend.entry.hardware_type].share
-                    if share >= 1.0 or place >> 44 < share * FULL_PART:
+                    if share >= 1.0 or place >> 44 < share * HASH_RATIO_SCALE:
                         yield backend
-            turn = mix(key) % len(ready)  # the head of the list would get all that finds no other
+            turn = mix64(key) % len(ready)  # the head of the list would get all that finds no other
             for place in range(turn, turn + len(ready)):
                 yield ready[place % len(ready)]
 
@@ -682,7 +682,7 @@
         Guards against any lasting difference between groups; wrong only if their reports mislead."""
         kinds = list(self._kinds.values())
         told = min((kind.reports for kind in kinds), default=0) >= KIND_REPORTS
-        if not told or not self._candidates.is_even():
+        if not told or not self._candidates.has_equal_weights():
             return
         for kind in kinds:
             kind.share /= max(KIND_LEAST, kind.busy) ** KIND_GAIN
@@ -719,9 +719,9 @@
         """Of the servers that are ready. Looks at those that were cold when it last did."""
         for backend in [one for one in self._cold if self._warmth(now, one.entry) >= 1.0]:
             del self._cold[backend]
-            backend.warm_units = to_units(backend.entry.weight)
+            backend.warm_units = to_weight_units(backend.entry.weight)
             self._warm_units += backend.warm_units
-        return self._warm_units / UNITS
+        return self._warm_units / WEIGHT_UNITS
 
     def _load(self, now: int, class_index: int, backend: Backend) -> float:
         """In requests in flight; what the server itself told adds to this node's own. Where new connections
@@ -814,7 +814,7 @@
 
     def _set_busy(self, backend: Backend, busy: float) -> None:
         if backend.ready:
-            self._busy += int(busy * UNITS) - int(backend.busy * UNITS)
+            self._busy += int(busy * WEIGHT_UNITS) - int(backend.busy * WEIGHT_UNITS)
         backend.busy = busy
 
     def _fade_fullness(self) -> None:
@@ -943,8 +943,8 @@
     def _enter(self, now: int, server: api.Endpoint) -> None:
         if not 0.0 < server.weight < inf:  # no figure: as any other
             server = server._replace(weight=1.0)
-        elif not LEAST_WEIGHT <= server.weight <= MOST_WEIGHT:  # past any size of machine
-            server = server._replace(weight=min(max(server.weight, LEAST_WEIGHT), MOST_WEIGHT))
+        elif not MIN_WEIGHT <= server.weight <= MAX_WEIGHT:  # past any size of machine
+            server = server._replace(weight=min(max(server.weight, MIN_WEIGHT), MAX_WEIGHT))
         backend = self._backends.get(server.id)
         if backend is None:
             self._backends[server.id] = Backend(server, self._first_token(now, server), now, listed=now)
@@ -992,7 +992,7 @@
                 came.append(backend)
             backend.ready = ready
             if ready:
-                self._busy += int(backend.busy * UNITS)
+                self._busy += int(backend.busy * WEIGHT_UNITS)
                 self._cold[backend] = None
                 self._count_ejected(backend)
             elif backend.entry.state is EndpointState.REMOVED:
@@ -1009,7 +1009,7 @@
         self._set_caps()
 
     def _uncount(self, backend: Backend) -> None:
-        self._busy -= int(backend.busy * UNITS)
+        self._busy -= int(backend.busy * WEIGHT_UNITS)
         self._warm_units -= backend.warm_units
         backend.warm_units = 0
         for group in (self._cold, self._ejected):
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -13,30 +13,24 @@
 
 from collections.abc import Mapping
 from hashlib import blake2b
-from heapq import heapify, heappop, heappush
-from math import ceil
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
 
 MASK = (1 << 64) - 1
-FULL_PART = 1 << 20  # of the keys that probe a slot; 20 bits of a hash tell whether a key is among them
+HASH_RATIO_SCALE = (
+    1 << 20
+)  # of the keys that probe a slot; 20 bits of a hash tell whether a key is among them
 SPARSE = 16  # slots of the grid for each that is held: fewer would make claims meet, and move more keys
 LEAST_SIZE, GROWTH = 4096, 32  # slots; a grid that grows moves most keys: past 256 slots held, and 8,192
 STRETCH = 256  # slots that are probed at once
 DISTANCES = 1024  # between these at most, of which half, the odd ones, are in use
 STRETCHES = 64  # for a key; lists of like weights need one or two, of those far apart four on average
-LEAST_WEIGHT, MOST_WEIGHT = 2.0**-40, 2.0**40  # what lies beyond counts as these
-UNITS = 1 << 40  # of weight, in one: whole numbers add up alike in any order
+MIN_WEIGHT, MAX_WEIGHT = 2.0**-40, 2.0**40  # what lies beyond counts as these
+WEIGHT_UNITS = 1 << 40  # of weight, in one: whole numbers add up alike in any order
 
-HOT = 0.5  # of a server's fair share of this node's requests: a key above it goes to more than two
-HOT_LEAST = 2  # requests; fewer say nothing about a key's share
-KEY_MEMORY = 6.0  # requests for each server are remembered: at a small share of traffic that takes long
-KEY_LEAST = 0.5  # requests; a key with fewer is forgotten
-MOST_SCALE = 1e100
 
-
-def mix(value: int) -> int:
+def mix64(value: int) -> int:
     """A well spread 64-bit hash of a whole number, alike on every node (SplitMix64: Steele et al. 2014)."""
     value = (value + 0x9E3779B97F4A7C15) & MASK
     value = ((value ^ (value >> 30)) * 0xBF58476D1CE4E5B9) & MASK
@@ -44,9 +38,9 @@
     return value ^ (value >> 31)
 
 
-def to_units(weight: float) -> int:
+def to_weight_units(weight: float) -> int:
     """A weight as a whole number of units, at least 1."""
-    return UNITS if weight == 1.0 else int(min(max(weight, LEAST_WEIGHT), MOST_WEIGHT) * UNITS)
+    return WEIGHT_UNITS if weight == 1.0 else int(min(max(weight, MIN_WEIGHT), MAX_WEIGHT) * WEIGHT_UNITS)
 
 
 class Claim(Generic[T]):
@@ -58,7 +52,7 @@
         hashed = blake2b(name, digest_size=24, salt=b"%d" % index) if index else blake2b(name, digest_size=24)
         self.rank = int.from_bytes(hashed.digest(), "little")
         self.tries = 0  # slots of its sequence that it was passed over for
-        self.part = FULL_PART  # of the keys that probe its slot
+        self.part = HASH_RATIO_SCALE  # of the keys that probe its slot
         self.server = server
 
     def slot(self, tries: int, mask: int) -> int:
@@ -66,7 +60,7 @@
         return (self.rank + tries * (self.rank >> 64 | 1)) & mask if tries else self.rank & mask
 
 
-class Grid(Generic[T]):
+class SlotGrid(Generic[T]):
     """Servers by weight on a grid of slots. All that it answers is a function of the servers and weights
     that it holds, not of the order in which they came. The cost of a change is that of the slots it takes or
     leaves, about one; where the grid grows or shrinks by GROWTH, or the unit of a slot does, that of all."""
@@ -78,7 +72,7 @@
         self._passed: dict[int, list[Claim[T]]] = {}  # by slot: claims that went on to another
         self._claims: dict[bytes, list[Claim[T]]] = {}
         self._servers: dict[bytes, tuple[int, T]] = {}  # weight in units
-        self._unit = UNITS  # weight of one slot, in units of weight
+        self._unit = WEIGHT_UNITS  # weight of one slot, in units of weight
         self._held = 0  # slots
         self._weights: dict[int, int] = {}  # how many servers have each
         self.total = 0  # weight in units
@@ -87,7 +81,7 @@
         """Servers."""
         return len(self._servers)
 
-    def is_even(self) -> bool:
+    def has_equal_weights(self) -> bool:
         """All have the same weight."""
         return len(self._weights) <= 1
 
@@ -130,10 +124,13 @@
             hit = row.find(1)
             while hit >= 0:
                 claim = slots[start + hit * step & mask]
-                if claim.part == FULL_PART or mix(place + hit ^ claim.rank & MASK) >> 44 < claim.part:
+                if (
+                    claim.part == HASH_RATIO_SCALE
+                    or mix64(place + hit ^ claim.rank & MASK) >> 44 < claim.part
+                ):
                     return claim.server
                 hit = row.find(1, hit + 1)
-            place = mix(place)
+            place = mix64(place)
         return None
 
     def _fitting_unit(self) -> int:
@@ -159,11 +156,11 @@
             del self._claims[name]
             return []
         for claim in claims:
-            claim.server, claim.part = server, FULL_PART
+            claim.server, claim.part = server, HASH_RATIO_SCALE
         new = [Claim(name, index, server) for index in range(len(claims), count)]
         claims += new
         if units % self._unit:
-            claims[-1].part = max(1, units % self._unit * FULL_PART // self._unit)
+            claims[-1].part = max(1, units % self._unit * HASH_RATIO_SCALE // self._unit)
         return new
 
     def _fill(self, names: Mapping[bytes, None]) -> None:
@@ -230,111 +227,3 @@
             self._passed[at].remove(claim)
             if not self._passed[at]:
                 del self._passed[at]
-
-
-class Candidates(Generic[T]):
-    """All servers, and those of the own zone for the part of the keys that they can carry."""
-
-    def __init__(self, zone: int | None) -> None:
-        self._zone = zone
-        self._all: Grid[T] = Grid()
-        self._near: Grid[T] = Grid()
-        self._zones: dict[bytes, int] = {}  # of each server
-        self._counts: dict[int, int] = {}  # servers of each zone
-        self._own = 0  # part of the keys that the own zone can carry, of FULL_PART
-
-    def __len__(self) -> int:
-        return len(self._all)
-
-    def is_even(self) -> bool:
-        """All have the same weight."""
-        return self._all.is_even()
-
-    def update(self, changes: Mapping[bytes, tuple[int, float, T] | None]) -> None:
-        """Sets zone, weight and value of the servers named; None: takes it out."""
-        near: dict[bytes, tuple[int, T] | None] = {}
-        everywhere: dict[bytes, tuple[int, T] | None] = {}
-        zones, counts, own_zone = self._zones, self._counts, self._zone
-        for name, change in changes.items():
-            before = zones.pop(name, None)
-            if before is not None:
-                counts[before] -= 1
-                if not counts[before]:
-                    del counts[before]
-                if before == own_zone:
-                    near[name] = None
-            if change is None:
-                everywhere[name] = None
-                continue
-            zone, weight, server = change
-            zones[name] = zone
-            counts[zone] = counts.get(zone, 0) + 1
-            everywhere[name] = entry = (to_units(weight), server)
-            if zone == own_zone:
-                near[name] = entry
-        self._all.update(everywhere)
-        self._near.update(near)
-        # Of a zone's traffic, were it alike in all: one that lost servers is not crowded by its own nodes.
-        part = self._near.total * len(self._counts) * FULL_PART
-        self._own = min(FULL_PART, part // max(1, self._all.total))
-
-    def find(self, place: int, near: bool) -> T | None:
-        """The server that a hash of 64 bits leads to, where near is asked for one of the own zone if that can
-        carry this key. None if there is no server."""
-        if near and (self._own == FULL_PART or mix(place) >> 44 < self._own):
-            return self._near.find(place)
-        return self._all.find(place)
-
-
-class HeavyHitters:
-    """Arrivals by key, older ones fading, and the keys that are more than a server's work. Counts are kept by
-    forward decay (Cormode, Shkapenyuk, Srivastava and Xu, ICDE 2009): an arrival counts for more the later it
-    comes, so that nothing has to be done to the counts of keys that have none."""
-
-    def __init__(self) -> None:
-        self.spread: dict[int, int] = {}  # hot keys: how many servers each goes to
-        self._counts: dict[int, float] = {}  # times the scale
-        self._scale = 1.0  # what an arrival counts for now
-        self._total = 0.0
-        self._fewest: list[tuple[float, int]] = []  # a heap of all keys by a count that each had
-        self._risen: dict[int, None] = {}  # keys that may be hot by arrivals since the last update
-
-    def add(self, key: int) -> None:
-        count = self._counts.get(key)
-        if count is None:
-            self._counts[key] = self._scale
-            heappush(self._fewest, (self._scale, key))
-        else:
-            self._counts[key] = count + self._scale
-            self._risen[key] = None
-        self._total += self._scale
-
-    def update(self, servers: int) -> None:
-        """A key that is more than a server's work goes to as many as it needs: all nodes send it to the
-        same two, and each node's own load there is too small to tell."""
-        total = self._total / self._scale
-        fair = HOT * total / max(1, servers)
-        hot = ((key, self._counts.get(key, 0.0) / self._scale) for key in {**self.spread, **self._risen})
-        self.spread = {
-            key: max(1, min(servers, 1 + ceil(count / fair)))
-            for key, count in hot
-            if count >= HOT_LEAST and count > fair
-        }
-        self._risen.clear()
-        keep = min(1.0, KEY_MEMORY * servers / max(1.0, total))
-        if not keep:
-            self._counts, self._fewest, self._scale, self._total = {}, [], 1.0, 0.0
-        self._scale /= keep or 1.0
-        least = KEY_LEAST * self._scale
-        while self._fewest and self._fewest[0][0] < least:
-            key = heappop(self._fewest)[1]
-            if (count := self._counts[key]) >= least:
-                heappush(self._fewest, (count, key))
-            else:
-                del self._counts[key]
-                self._total -= count
-        if self._scale > MOST_SCALE:  # once in hours: the numbers would pass a float's range
-            self._counts = {key: count / self._scale for key, count in self._counts.items()}
-            self._fewest = [(count, key) for key, count in self._counts.items()]
-            heapify(self._fewest)
-            self._scale, self._total = 1.0, sum(self._counts.values())
--- a/scale/candidates.py
+++ b/scale/candidates.py
@@ -23,7 +23,7 @@
 
 from moleport.policy import Balancer
 from moleport.policy import interface as api
-from moleport.policy.hashing import Grid, mix, to_units
+from moleport.policy.hashing import SlotGrid, mix64, to_weight_units
 
 SIZES = (60, 200, 1_000, 3_600, 7_200)
 SMOKE_SIZES = (60, 200)
@@ -34,11 +34,11 @@
 
 
 def name_of(number: int) -> bytes:
-    return mix(number).to_bytes(8, "little")
+    return mix64(number).to_bytes(8, "little")
 
 
 def hash_of(name: bytes, salt: int = 0) -> int:
-    return mix(int.from_bytes(name, "little") + salt * 0x9E3779B97F4A7C15)
+    return mix64(int.from_bytes(name, "little") + salt * 0x9E3779B97F4A7C15)
 
 
 class Algorithm(Protocol):
@@ -51,14 +51,14 @@
     """What the module uses (moleport/policy/hashing.py)."""
 
     def __init__(self, weights: dict[bytes, float]) -> None:
-        self._grid: Grid[bytes] = Grid()
-        self._grid.update({name: (to_units(weight), name) for name, weight in weights.items()})
+        self._grid: SlotGrid[bytes] = SlotGrid()
+        self._grid.update({name: (to_weight_units(weight), name) for name, weight in weights.items()})
 
     def change(self, name: bytes, weight: float | None) -> None:
-        self._grid.update({name: None if weight is None else (to_units(weight), name)})
+        self._grid.update({name: None if weight is None else (to_weight_units(weight), name)})
 
     def find(self, key: int) -> bytes | None:
-        return self._grid.find(mix(key))
+        return self._grid.find(mix64(key))
 
 
 class MaglevLike:
@@ -79,14 +79,14 @@
         self._fill()
 
     def find(self, key: int) -> bytes | None:
-        return self._table[mix(key) % self.TABLE_SIZE]
+        return self._table[mix64(key) % self.TABLE_SIZE]
 
     def _fill(self) -> None:
         servers = sorted(self._weights)
         heaviest = max(self._weights.values())
         table: list[bytes | None] = [None] * self.TABLE_SIZE
         places = [hash_of(name) for name in servers]
-        steps = [1 + mix(place) % (self.TABLE_SIZE - 1) for place in places]
+        steps = [1 + mix64(place) % (self.TABLE_SIZE - 1) for place in places]
         credits = [0.0] * len(places)
         left = self.TABLE_SIZE
         while left:
@@ -123,7 +123,7 @@
                 insort(self._points, point)
 
     def find(self, key: int) -> bytes | None:
-        return self._points[bisect_left(self._points, (mix(key), b"")) % len(self._points)][1]
+        return self._points[bisect_left(self._points, (mix64(key), b"")) % len(self._points)][1]
 
 
 class MultiProbe:
@@ -141,7 +141,7 @@
             insort(self._points, (hash_of(name), name))
 
     def find(self, key: int) -> bytes | None:
-        points, first, second = self._points, mix(key), mix(key ^ 0x5BD1E995) | 1
+        points, first, second = self._points, mix64(key), mix64(key ^ 0x5BD1E995) | 1
         best, found = 1 << 65, None
         for probe in range(self.PROBES):
             at = first + probe * second & 0xFFFFFFFFFFFFFFFF
@@ -164,7 +164,7 @@
 
     def find(self, key: int) -> bytes | None:
         scores = (
-            (weight / -log((mix(key ^ one) + 1) / 2.0**64), name)
+            (weight / -log((mix64(key ^ one) + 1) / 2.0**64), name)
             for name, (one, weight) in self._weights.items()
         )
         return max(scores)[1]
@@ -199,10 +199,10 @@
         self._size += 1
 
     def find(self, key: int) -> bytes | None:
-        left, place = self._left, mix(key)
+        left, place = self._left, mix64(key)
         bucket = place % len(left)
         while left[bucket]:
-            place = mix(place ^ bucket)
+            place = mix64(place ^ bucket)
             other = place % left[bucket]
             while left[other] >= left[bucket]:
                 other = self._next[other]
@@ -229,9 +229,9 @@
             self._slots[slot] = name
 
     def find(self, key: int) -> bytes | None:
-        place = mix(key)
+        place = mix64(key)
         while (name := self._slots[place & len(self._slots) - 1]) is None:
-            place = mix(place)
+            place = mix64(place)
         return name
 
 
@@ -414,18 +414,18 @@
     node.handle(1, listed)
     node.handle(1, api.TimerFired(1))
     full: list[dict[int, float]] = [{0: 0.0, 1: 0.0} for _ in range(size)]
-    counts = {mix(key): 1.0 for key in range(6 * size)}
+    counts = {mix64(key): 1.0 for key in range(6 * size)}
     taken: dict[str, list[float]] = {}
     gc.collect()
     gc.freeze()
     ids = iter(range(1, 1 << 40))
     for key in range(6 * size):
-        node._hitters.add(mix(key))
+        node._hitters.record(mix64(key))
 
     def ask(keys: range) -> None:
         for key in keys:
             number = next(ids)
-            *_, send = node.handle(2, api.Request(number, SECOND, 0, 0, mix(key), False))
+            *_, send = node.handle(2, api.Request(number, SECOND, 0, 0, mix64(key), False))
             if isinstance(send, api.Forward):
                 node.handle(
                     2, api.AttemptOutcome(number, True, api.AttemptResult.OK, MS, send.endpoint_id, 0, ())
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -19,8 +19,9 @@
 from world import SECOND, Node, server, settings, whole
 
 from moleport.policy import interface as api
-from moleport.policy.hashing import Candidates, Grid, mix, to_units
+from moleport.policy.hashing import SlotGrid, mix64, to_weight_units
 from moleport.policy.interface import AttemptResult, EndpointState, EndpointUpdateKind
+from moleport.policy.zones import CandidateIndex
 
 
 def operations(what: Callable[[], object]) -> int:
@@ -56,15 +57,17 @@
     return api.EndpointUpdate(EndpointUpdateKind.DELTA, servers)
 
 
-def grid(weights: dict[int, float]) -> Grid[int]:
-    made: Grid[int] = Grid()
-    made.update({name.to_bytes(6, "big"): (to_units(weight), name) for name, weight in weights.items()})
+def grid(weights: dict[int, float]) -> SlotGrid[int]:
+    made: SlotGrid[int] = SlotGrid()
+    made.update(
+        {name.to_bytes(6, "big"): (to_weight_units(weight), name) for name, weight in weights.items()}
+    )
     return made
 
 
-def shares(of: Grid[int], keys: int) -> dict[int, float]:
+def shares(of: SlotGrid[int], keys: int) -> dict[int, float]:
     """Part of the keys that each server gets, against what its weight says."""
-    got = Counter(of.find(mix(key)) for key in range(keys))
+    got = Counter(of.find(mix64(key)) for key in range(keys))
     assert None not in got
     servers = of._servers.values()
     return {name: got[name] / keys * of.total / units for units, name in servers}
@@ -76,7 +79,7 @@
 def test_every_server_of_a_long_list_gets_keys() -> None:
     """A table of 2,039 places left the servers without any that came after these."""
     node = fleet(3000)
-    got = {node.serve(mix(key) | 1) for key in range(45_000)}
+    got = {node.serve(mix64(key) | 1) for key in range(45_000)}
     assert len(got) == 3000
 
 
@@ -143,7 +146,7 @@
 
 def test_the_first_server_of_a_key_is_of_the_own_zone() -> None:
     node = fleet(900, zone=4)
-    got = {node.serve(mix(key) | 1) for key in range(2000)}
+    got = {node.serve(mix64(key) | 1) for key in range(2000)}
     assert {int.from_bytes(name or b"", "big") % 9 for name in got} == {4}
 
 
@@ -151,7 +154,7 @@
     """A half of its servers left, in nine zones: it carries nine tenths of nine seventeenths."""
     node = fleet(900, zone=4)
     node.tell(delta(*(in_zones(n)._replace(state=EndpointState.REMOVED) for n in range(4, 450, 9))))
-    got = Counter(int.from_bytes(node.serve(mix(key) | 1) or b"", "big") % 9 == 4 for key in range(4000))
+    got = Counter(int.from_bytes(node.serve(mix64(key) | 1) or b"", "big") % 9 == 4 for key in range(4000))
     own = 50 * 9 / 850
     assert got[True] / 4000 == pytest.approx(own + (1 - own) * 50 / 850, abs=0.03)
 
@@ -230,13 +233,13 @@
     random = Random(count)
     moved = fair = 0.0
     for first in range(0, 5000, 1000):
-        names, keys = list(range(first, first + count)), [mix(key) for key in range(100 * count)]
+        names, keys = list(range(first, first + count)), [mix64(key) for key in range(100 * count)]
         made = grid(dict.fromkeys(names, 1.0))
         before = [made.find(key) for key in keys]
         for number in range(first + count, first + count + 20):
             leaving = names.pop(random.randrange(len(names)))
             names.append(number)
-            for name, change in ((leaving, None), (number, (to_units(1.0), number))):
+            for name, change in ((leaving, None), (number, (to_weight_units(1.0), number))):
                 size = len(made)
                 made.update({name.to_bytes(6, "big"): change})
                 now = [made.find(key) for key in keys]
@@ -251,18 +254,20 @@
     """Lists of a service, a zone or a whole site lie about 36, 130 and 200. A grid that had grown there would
     have moved most keys."""
     made = grid(dict.fromkeys(range(count), 1.0))
-    keys = [mix(key) for key in range(100 * count)]
+    keys = [mix64(key) for key in range(100 * count)]
     before = [made.find(key) for key in keys]
-    made.update({number.to_bytes(6, "big"): (to_units(1.0), number) for number in range(count, count + 6)})
+    made.update(
+        {number.to_bytes(6, "big"): (to_weight_units(1.0), number) for number in range(count, count + 6)}
+    )
     moved = sum(one != made.find(key) for one, key in zip(before, keys, strict=True)) / len(keys)
     assert moved <= 1.3 * 6 / (count + 6)
 
 
 def test_more_weight_moves_keys_to_that_server_only() -> None:
     made = grid(dict.fromkeys(range(60), 1.0))
-    keys = [mix(key) for key in range(12_000)]
+    keys = [mix64(key) for key in range(12_000)]
     before = [made.find(key) for key in keys]
-    made.update({(7).to_bytes(6, "big"): (to_units(1.5), 7)})
+    made.update({(7).to_bytes(6, "big"): (to_weight_units(1.5), 7)})
     changed = [(one, other) for one, other in zip(before, map(made.find, keys), strict=True) if one != other]
     assert sum(other == 7 for _, other in changed) >= 0.9 * len(changed)  # the new slot may displace another
     assert 0 < len(changed) < 1.1 * 12_000 * 0.5 / 60.5 + 40
@@ -271,8 +276,8 @@
 def test_a_list_of_weights_far_apart_is_neither_crowded_nor_probed_without_end() -> None:
     made = grid({0: 1e9, **dict.fromkeys(range(1, 300), 1e-9)})
     assert len(made._slots) <= 3 * 300
-    assert Counter(made.find(mix(key)) for key in range(2000))[0] > 1990
-    assert max(operations(lambda key=key: made.find(mix(key))) for key in range(200)) < 6000
+    assert Counter(made.find(mix64(key)) for key in range(2000))[0] > 1990
+    assert max(operations(lambda key=key: made.find(mix64(key))) for key in range(200)) < 6000
 
 
 CHANGE = st.tuples(st.integers(0, 30), st.sampled_from([None, 0.1, 1.0, 1.0, 1.0, 2.5, 1e-9, 1e9]))
@@ -283,7 +288,7 @@
 def test_what_is_found_depends_on_the_servers_held_and_not_on_the_way_there(
     changes: list[tuple[int, float | None]], batch: int, random: Random
 ) -> None:
-    made: Candidates[int] = Candidates(1)
+    made: CandidateIndex[int] = CandidateIndex(1)
     held: dict[bytes, tuple[int, float, int] | None] = {}
     for first in range(0, len(changes), batch):
         step = {
@@ -294,11 +299,11 @@
         made.update(step)
     items = [(name, change) for name, change in held.items() if change is not None]
     random.shuffle(items)
-    anew: Candidates[int] = Candidates(1)
+    anew: CandidateIndex[int] = CandidateIndex(1)
     anew.update(dict(items))
     for key in range(60):
         for near in (False, True):
-            assert made.find(mix(key), near) == anew.find(mix(key), near)
+            assert made.find(mix64(key), near) == anew.find(mix64(key), near)
     assert len(made) == len(items)
     if not items:
         assert made.find(1, True) is None
@@ -308,9 +313,9 @@
 @given(st.lists(CHANGE, max_size=60))
 def test_the_grid_keeps_its_own_rules(changes: list[tuple[int, float | None]]) -> None:
     """Each claim has the first of its slots that no lower rank holds, and no slot has two marks or none."""
-    made: Grid[int] = Grid()
+    made: SlotGrid[int] = SlotGrid()
     for name, weight in changes:
-        made.update({name.to_bytes(6, "big"): None if weight is None else (to_units(weight), name)})
+        made.update({name.to_bytes(6, "big"): None if weight is None else (to_weight_units(weight), name)})
         claims = [claim for of_one in made._claims.values() for claim in of_one]
         mask = made._mask
         assert len(made._slots) == len(claims) == made._held
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -14,7 +14,8 @@
 
 from moleport.policy import Balancer
 from moleport.policy import interface as api
-from moleport.policy.hashing import UNITS, HeavyHitters, to_units
+from moleport.policy.hashing import WEIGHT_UNITS, to_weight_units
+from moleport.policy.hot_keys import HotKeyTracker
 from moleport.policy.interface import AttemptResult, EndpointState
 
 TICK = api.TimerFired(1)
@@ -44,7 +45,7 @@
     for count in (100, 3000):
         node = fleet(3000)
         for key in range(1, count + 1):
-            node.balancer._hitters.add(key)
+            node.balancer._hitters.record(key)
         node.tell(TICK)
         costs.append(operations(lambda node=node: node.tell(TICK)))
     assert costs[1] < costs[0] + 300
@@ -110,7 +111,7 @@
         game.play(steps=120)
         ready = [one for one in balancer._backends.values() if one.entry.state is EndpointState.READY]
         assert balancer._ready == sorted(ready, key=lambda one: one.entry.id)
-        assert balancer._busy == sum(int(one.busy * UNITS) for one in ready)
+        assert balancer._busy == sum(int(one.busy * WEIGHT_UNITS) for one in ready)
         assert set(balancer._ejected) == {one for one in ready if one.ejected_until}
         for backend in balancer._ejected:
             assert (backend.failures, backend.entry.id) in balancer._by_failures
@@ -125,7 +126,7 @@
     node = Node(settings(slow_start_duration_ns=SECOND), servers=0)
     cold = server(2, started=node.now)
     node.tell(whole(server(0)._replace(weight=0.1), server(1)._replace(weight=0.2), cold))
-    assert node.balancer._warm_weight(node.now) * UNITS == to_units(0.1) + to_units(0.2)
+    assert node.balancer._warm_weight(node.now) * WEIGHT_UNITS == to_weight_units(0.1) + to_weight_units(0.2)
     node.tell(delta(server(0, started=node.now)._replace(weight=0.1), server(1)._replace(weight=4.0)))
     assert node.balancer._warm_weight(node.now) == 4.0
     node.now += SECOND + MS
@@ -140,10 +141,10 @@
 def test_counts_that_fade_unseen_are_those_that_fading_all_would_give(
     arrivals: list[tuple[int, bool]], servers: int
 ) -> None:
-    hitters, counts = HeavyHitters(), dict[int, float]()
+    hitters, counts = HotKeyTracker(), dict[int, float]()
     came = set()
     for key, ends in arrivals:
-        hitters.add(key)
+        hitters.record(key)
         counts[key] = counts.get(key, 0) + 1
         came.add(key)
         if not ends:
@@ -156,9 +157,9 @@
             if abs(count - fair) > 1e-6 and abs(count - 2) > 1e-6:
                 wanted = max(1, min(servers, 1 + ceil(count / fair - 1e-9)))
                 if count < 2 or count <= fair:
-                    assert key not in hitters.spread
+                    assert key not in hitters.fan_out
                 elif abs(count / fair - round(count / fair)) > 1e-6:
-                    assert hitters.spread[key] == wanted
+                    assert hitters.fan_out[key] == wanted
         keep = min(1.0, 6 * servers / total)
         if any(abs(count * keep - 0.5) < 1e-6 for count in counts.values()):
             return  # rounding decides whether it is forgotten
@@ -169,9 +170,9 @@
 
 
 def test_counts_survive_months_of_fading() -> None:
-    hitters = HeavyHitters()
+    hitters = HotKeyTracker()
     for key in range(60_000):
-        hitters.add(key % 40)
+        hitters.record(key % 40)
         if key % 3 == 0:
             hitters.update(1)
     assert hitters._scale < 1e101 and hitters._total / hitters._scale < 10
