--- a/moleport/__main__.py
+++ b/moleport/__main__.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from moleport.config.node_config import Config, ConfigError, load, reload
-from moleport.node.attempt import ConnectionPools
+from moleport.node.connection_pools import ConnectionPools
 from moleport.node.dispatcher import Dispatcher
 from moleport.node.listener import Listener
 from moleport.telemetry import Event
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -17,10 +17,12 @@
 from moleport.config.endpoints import DiscoveredEndpoint, DiscoveryUpdate
 from moleport.config.node_config import Config
 from moleport.node import discovery_watch as discovery
-from moleport.node.attempt import Attempt, ConnectionPools, ServerResponse, WritePermission
+from moleport.node.attempt import Attempt, WritePermission
+from moleport.node.connection_pools import ConnectionPools
 from moleport.node.discovery_watch import DiscoveryClient
 from moleport.node.hold_detector import HoldDetector
 from moleport.node.invariants import Write, broken_by
+from moleport.node.server_connection import ServerResponse
 from moleport.node.server_start_times import ServerStartTimes
 from moleport.policy import Balancer
 from moleport.policy import interface as api
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -8,7 +8,7 @@
 import httptools
 
 from moleport.config.node_config import Config
-from moleport.node.attempt import BODY_MOST, HEAD_MOST, HOP_BY_HOP
+from moleport.node.http_limits import BODY_MOST, HEAD_MOST, HOP_BY_HOP
 from moleport.policy.interface import Idempotency
 
 FIELDS_MOST = 100  # headers
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -22,7 +22,7 @@
 from moleport.__main__ import build_node
 from moleport.config.endpoints import DiscoveredEndpoint, DiscoveryUpdate, parse_update
 from moleport.config.node_config import Config, load
-from moleport.node.attempt import ConnectionPools
+from moleport.node.connection_pools import ConnectionPools
 from moleport.node.discovery_watch import DiscoveryClient, WatchConnection
 from moleport.node.dispatcher import hash_name
 from moleport.policy import Balancer
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -23,8 +23,9 @@
 )
 
 from moleport.config.endpoints import parse_update
-from moleport.node import attempt as upstream
+from moleport.node import connection_pool
 from moleport.node.dispatcher import hash_name
+from moleport.node.server_connection import ServerConnection
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
@@ -39,7 +40,7 @@
 
 
 def test_connections_are_used_again_the_latest_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "COOL_DOWN", 0)
+    monkeypatch.setattr(connection_pool, "COOL_DOWN", 0)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -61,7 +62,7 @@
 ) -> None:
     """A second copy of an answer came behind it, and was with the kernel when the next request went out: its
     client was served with the other one's answer."""
-    monkeypatch.setattr(upstream, "COOL_DOWN", 10**12)
+    monkeypatch.setattr(connection_pool, "COOL_DOWN", 10**12)
 
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
@@ -75,7 +76,7 @@
             assert (await client.ask(request(body=b"one"))).body == b"one"
             assert (await client.ask(request(body=b"two"))).body == b"two"
             assert server.connections == 2  # the first one rests
-            monkeypatch.setattr(upstream, "COOL_DOWN", 0)
+            monkeypatch.setattr(connection_pool, "COOL_DOWN", 0)
             (pool,) = rig.node._pools._pools.values()
             # Both are sent at once, before the loop can see what has come with them.
             for connection in pool.idle:
@@ -272,9 +273,9 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            made = upstream.ServerConnection.connection_made
+            made = ServerConnection.connection_made
 
-            def ends(connection: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
+            def ends(connection: ServerConnection, transport: asyncio.BaseTransport) -> None:
                 made(connection, transport)
                 if how == "gone":
                     (number,) = rig.node._open
@@ -283,7 +284,7 @@
                     server.state = "Gone"
                     rig.node._list_came(change(server))
 
-            monkeypatch.setattr(upstream.ServerConnection, "connection_made", ends)
+            monkeypatch.setattr(ServerConnection, "connection_made", ends)
             client.writer.write(request("order"))
             await until(lambda: rig.spy.outcomes())
             await until(lambda: server.connections and not server.open)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -34,8 +34,8 @@
 )
 
 from moleport.config.endpoints import parse_update
-from moleport.node import attempt as upstream
 from moleport.node.dispatcher import hash_name
+from moleport.node.server_connection import ServerConnection
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
@@ -569,13 +569,13 @@
 ) -> None:
     """The server takes nothing in: the request stays partly in the node, as its attempt ends. What was with
     the node is not written after that, though the server then reads all that there is."""
-    made = upstream.ServerConnection.connection_made
+    made = ServerConnection.connection_made
 
-    def with_small_buffer(self: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
+    def with_small_buffer(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-    monkeypatch.setattr(upstream.ServerConnection, "connection_made", with_small_buffer)
+    monkeypatch.setattr(ServerConnection, "connection_made", with_small_buffer)
 
     async def test() -> None:
         listening = socket.create_server(("127.0.0.1", 0))
@@ -639,16 +639,16 @@
 def test_a_dial_that_comes_up_as_its_time_is_over_carries_nothing(
     bound: str, result: AttemptResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made = upstream.ServerConnection.connection_made
+    made = ServerConnection.connection_made
 
-    def late(self: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
+    def late(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         (attempt,) = self._pool.dialing
         setattr(attempt, bound, 1)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            monkeypatch.setattr(upstream.ServerConnection, "connection_made", late)
+            monkeypatch.setattr(ServerConnection, "connection_made", late)
             client = await rig.client()
             assert status(await client.ask(request("order"))) == 503
             assert [one.result for one in rig.spy.outcomes()] == [result]
@@ -664,12 +664,12 @@
 ) -> None:
     """It was decided on within the window, but its connection came up, or took its last bytes, only when the
     servers had forgotten the key: the request ran twice."""
-    made = upstream.ServerConnection.connection_made
+    made = ServerConnection.connection_made
     window = 1.0  # s
     listed = asyncio.Event()
     arrived: list[Message] = []
 
-    def with_small_buffer(self: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
+    def with_small_buffer(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
@@ -710,7 +710,7 @@
                     accepting.close()
                     assert not arrived
 
-    monkeypatch.setattr(upstream.ServerConnection, "connection_made", with_small_buffer)
+    monkeypatch.setattr(ServerConnection, "connection_made", with_small_buffer)
     run(test())
 
 
