--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -21,7 +21,7 @@
 from moleport.node.connection_pools import ConnectionPools
 from moleport.node.discovery_watch import DiscoveryClient
 from moleport.node.hold_detector import HoldDetector
-from moleport.node.invariants import Write, broken_by
+from moleport.node.invariants import RequestWrite, violated_invariants
 from moleport.node.server_connection import ServerResponse
 from moleport.node.server_start_times import ServerStartTimes
 from moleport.policy import Balancer
@@ -409,21 +409,21 @@
         now = monotonic_ns()
         kind = self._config.policy_settings.classes[request.call.class_index]
         pool = attempt.pool
-        write = Write(
-            repeat=kind.idempotency,
-            window=kind.deduplication_window_ns,
-            attempt=attempt.index,
-            attempts_most=self._config.policy_settings.max_attempts,
-            others_out=len(request.out) - 1,
-            answered=request.answered,
-            ran_since=now - request.ran_since if request.ran_since else None,
-            client_left_since=now - request.left_at if request.left_at else None,
-            server_left_since=now - pool.retired_at if pool.retired else None,
-            drain_grace=self._config.drain_grace_ns,
-            told=told,
-            left=request.call.deadline_ns - now,
+        write = RequestWrite(
+            idempotency=kind.idempotency,
+            deduplication_window_ns=kind.deduplication_window_ns,
+            attempt_index=attempt.index,
+            max_attempts=self._config.policy_settings.max_attempts,
+            other_attempt_count=len(request.out) - 1,
+            is_answered=request.answered,
+            since_execution_ns=now - request.ran_since if request.ran_since else None,
+            since_client_disconnect_ns=now - request.left_at if request.left_at else None,
+            since_endpoint_removal_ns=now - pool.retired_at_ns if pool.retired else None,
+            drain_grace_ns=self._config.drain_grace_ns,
+            stated_timeout_ns=told,
+            remaining_ns=request.call.deadline_ns - now,
         )
-        for invariant in broken_by(write):
+        for invariant in violated_invariants(write):
             self.telemetry.violate(
                 invariant, request=request.number, id=request.call.request_id, attempt=attempt.index
             )
--- a/moleport/node/error_codes.py
+++ b/moleport/node/error_codes.py
@@ -1,6 +1,7 @@
-"""Whose fault an error of a system call is, and so what follows from it.
+"""Classify errors of system calls by the party at fault.
 
-The numbers are those that Linux documents for socket(2), bind(2), connect(2), accept(2), recv(2) and send(2).
+The error numbers are those that Linux documents for socket(2), bind(2), connect(2), accept(2), recv(2) and
+send(2).
 """
 
 from __future__ import annotations
@@ -10,22 +11,22 @@
 
 
 class Fault(Enum):
-    """What an error tells, and what follows."""
+    """The party at fault for an error, which determines how to handle it."""
 
-    DESCRIPTORS = "descriptors"  # this process or machine has none left: free one, and try here again soon
-    MACHINE = "machine"  # this machine's, for a moment: try here again soon, and blame nobody
-    PATH = "path"  # no way to the peer: its own trouble, unless there is none to others either
-    PEER = "peer"  # the other side's: try elsewhere, and remember it
+    DESCRIPTORS = "descriptors"  # no free descriptor: close an idle connection and retry the same peer
+    MACHINE = "machine"  # a transient fault of this machine: retry the same peer, without blaming it
+    PATH = "path"  # no route: a fault of the peer, unless no other peer can be reached either
+    PEER = "peer"  # a fault of the peer: use another one
 
 
-FAULTS = {
+FAULT_BY_ERRNO = {
     errno.EMFILE: Fault.DESCRIPTORS,
     errno.ENFILE: Fault.DESCRIPTORS,
     errno.ENOBUFS: Fault.MACHINE,
     errno.ENOMEM: Fault.MACHINE,
     errno.EADDRNOTAVAIL: Fault.MACHINE,  # no local port is free
     errno.EADDRINUSE: Fault.MACHINE,
-    errno.EAGAIN: Fault.MACHINE,  # of connect: no entry in the routing cache, or no local port
+    errno.EAGAIN: Fault.MACHINE,  # from connect: no entry in the routing cache, or no local port
     errno.EINTR: Fault.MACHINE,
     errno.EPERM: Fault.MACHINE,  # a local packet filter
     errno.EACCES: Fault.MACHINE,
@@ -40,10 +41,12 @@
     errno.EPROTO: Fault.PEER,
     errno.ETIMEDOUT: Fault.PEER,
 }
-OWN = frozenset((Fault.DESCRIPTORS, Fault.MACHINE))
+LOCAL_FAULTS = frozenset((Fault.DESCRIPTORS, Fault.MACHINE))
 
 
-def fault_of(problem: BaseException | None) -> Fault:
-    """Of an error without a number, and of one that is not known, the peer's."""
-    number = problem.errno if isinstance(problem, OSError) else None
-    return FAULTS.get(number, Fault.PEER) if number is not None else Fault.PEER
+def fault_of(error: BaseException | None) -> Fault:
+    """Return the party at fault: the peer for no error, and for one with no or an unknown number."""
+    number = error.errno if isinstance(error, OSError) else None
+    if number is None:
+        return Fault.PEER
+    return FAULT_BY_ERRNO.get(number, Fault.PEER)
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -1,8 +1,8 @@
-"""Holds: spans in which the process did not run (stopped, its core taken, a long pause of its own).
+"""Detect holds: periods in which the process did not run.
 
-After a hold the event loop runs its timers and reads its sockets in an order that nobody may rely on. What
-it reads then may have lain with the kernel for as long as the hold lasted, and what a timer finds missing may
-lie there unread.
+A hold is a stopped process, a lost CPU core or a long pause of the process itself. After it the event loop
+runs timers and reads sockets in no defined order. Data that it reads may have been in the kernel for as long
+as the hold lasted, and data that a timer finds missing may be there unread.
 """
 
 from __future__ import annotations
@@ -12,54 +12,66 @@
 
 from moleport.telemetry import Event, Telemetry
 
-MS = 1_000_000  # ns
-HEARTBEAT = 20 * MS  # between two signs of life of the loop
-HOLD_LEAST = 100 * MS  # a heartbeat that is so late shows a hold; a busy loop is late by less
-SETTLE = 0.001  # s after the first late timer: the loop has read its sockets once by then
+NS_PER_MS = 1_000_000
+NS_PER_S = 1e9
+HEARTBEAT_PERIOD_NS = 20 * NS_PER_MS
+MIN_HOLD_NS = 100 * NS_PER_MS  # longer than a busy loop delays a heartbeat
+SETTLE_DELAY_S = 0.001  # after the first delayed timer: the loop has read its sockets once by then
 
 
 class HoldDetector:
-    """Tells for how long the loop was held up, and whether it may still have to read what came meanwhile."""
+    """Measures how long the event loop was held up, from how much its heartbeat is delayed."""
 
     def __init__(self, telemetry: Telemetry) -> None:
+        """Take the running event loop; holds are detected from `start` on."""
         self._telemetry = telemetry
         self._loop = asyncio.get_running_loop()
-        self._stalled = 0  # ns, of all holds that have ended
-        self._beat = monotonic_ns()  # when the loop last ran its heartbeat
-        self._held_since: int | None = None  # while what came in a hold may lie unread
+        self._ended_holds_ns = 0  # sum of all holds that have ended
+        self._last_heartbeat_ns = monotonic_ns()
+        self._hold_began_ns: int | None = None  # while data that arrived in a hold may be unread
 
     def start(self) -> None:
-        self._beat = monotonic_ns()
-        self._loop.call_later(HEARTBEAT / 1e9, self._heartbeat)
-
-    def _heartbeat(self) -> None:
-        late = self._late()
-        self._stalled = self.stalled_ns()
-        if late >= HOLD_LEAST:
-            self._telemetry.count(Event.LOOP_HELD, ms=late // MS)
-            if self._held_since is None:
-                self._held_since = self._beat
-            self._loop.call_later(SETTLE, self._settled)
-        self._beat = monotonic_ns()
-        self._loop.call_later(HEARTBEAT / 1e9, self._heartbeat)
-
-    def _settled(self) -> None:
-        self._held_since = None
-
-    def _late(self) -> int:
-        return monotonic_ns() - self._beat - HEARTBEAT
+        """Schedule the heartbeat on the event loop."""
+        self._last_heartbeat_ns = monotonic_ns()
+        self._loop.call_later(HEARTBEAT_PERIOD_NS / NS_PER_S, self._on_heartbeat)
+
+    def _on_heartbeat(self) -> None:
+        """Add a delay to the sum of holds, and schedule the next heartbeat."""
+        delay_ns = self._heartbeat_delay_ns()
+        self._ended_holds_ns = self.stalled_ns()
+        if delay_ns >= MIN_HOLD_NS:
+            self._telemetry.count(Event.LOOP_HELD, ms=delay_ns // NS_PER_MS)
+            if self._hold_began_ns is None:
+                self._hold_began_ns = self._last_heartbeat_ns
+            self._loop.call_later(SETTLE_DELAY_S, self._on_settled)
+        self.start()
+
+    def _on_settled(self) -> None:
+        """Note that the loop has read what arrived in the hold."""
+        self._hold_began_ns = None
+
+    def _heartbeat_delay_ns(self) -> int:
+        """Return by how much the next heartbeat is overdue; negative if it is not due yet."""
+        return monotonic_ns() - self._last_heartbeat_ns - HEARTBEAT_PERIOD_NS
 
     def stalled_ns(self) -> int:
-        """For how long the process has been held up since its start, in ns: no time of the servers."""
-        late = self._late()
-        return self._stalled + (late if late > HEARTBEAT else 0)
+        """Return the total time in ns for which the process has been held up since its start."""
+        delay_ns = self._heartbeat_delay_ns()
+        if delay_ns <= HEARTBEAT_PERIOD_NS:
+            return self._ended_holds_ns
+        return self._ended_holds_ns + delay_ns
 
     def is_settling(self) -> bool:
-        """A hold has just ended, and sockets may hold what came in it."""
-        return self._held_since is not None or self._late() >= HOLD_LEAST
+        """Return whether a hold has just ended, so that data that arrived in it may be unread."""
+        return self._hold_began_ns is not None or self._heartbeat_delay_ns() >= MIN_HOLD_NS
 
     def earliest_arrival(self) -> int:
-        """What is read now has come since then, in monotonic ns; right to within `HOLD_LEAST`."""
-        if self._held_since is not None:
-            return self._held_since
-        return self._beat if self._late() >= HOLD_LEAST else monotonic_ns()
+        """Return the earliest time, in monotonic ns, at which data that is read now may have arrived.
+
+        It is exact to within `MIN_HOLD_NS`.
+        """
+        if self._hold_began_ns is not None:
+            return self._hold_began_ns
+        if self._heartbeat_delay_ns() >= MIN_HOLD_NS:
+            return self._last_heartbeat_ns
+        return monotonic_ns()
--- a/moleport/node/http_limits.py
+++ b/moleport/node/http_limits.py
@@ -1,10 +1,10 @@
-"""Limits and header names that hold for messages of clients and servers alike."""
+"""Size limits and header names that apply to the messages of clients and of servers."""
 
 from __future__ import annotations
 
-BODY_MOST = 64 << 10  # bytes of an answer
-HEAD_MOST = 16 << 10
-HOP_BY_HOP = frozenset(
+MAX_BODY_BYTES = 64 << 10
+MAX_HEAD_BYTES = 16 << 10
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -18,4 +18,4 @@
         b"content-length",
     )
 )
-"""Headers that belong to one connection, and the length, which each side states anew."""
+"""Headers that apply to one connection only, and the length, which is set anew on each connection."""
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -1,54 +1,77 @@
-"""What must hold at each write to a server, checked as it happens, apart from the guards that see to it.
+"""Check the platform's rules at each request that is written to a server.
 
-The rules are those of the platform: one answer, no second run of a request, nothing to a server that has
-left, nothing for a client that has left. A check that fails changes nothing; it is counted and logged.
+The rules: one response to a client, no repeated execution, nothing to a server that drains or is removed,
+nothing for a client that has disconnected. The checks are independent of the code that enforces the rules. A
+violation changes nothing; it is counted and logged.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from enum import StrEnum
 from typing import NamedTuple
 
 from moleport.policy.interface import Idempotency
 
-MS = 1_000_000  # ns
-CLIENT_LEFT_MOST = 100 * MS  # an attempt may begin so long after its client's close
-DEADLINE_SLACK = 150 * MS  # by so much the time that a server is told may exceed what the client has left
-
-
-class Write(NamedTuple):
-    """The facts of one attempt as its last byte is written. Spans in ns."""
-
-    repeat: Idempotency
-    window: int  # in which servers drop a keyed repeat
-    attempt: int  # how many came before it
-    attempts_most: int
-    others_out: int  # attempts of the same request that are unanswered
-    answered: bool  # the request has its final answer
-    ran_since: int | None  # since the first attempt that may have run was sent; None: there is none
-    client_left_since: int | None  # since its client was seen to have left
-    server_left_since: int | None  # since the node was told that the server drains or is gone
-    drain_grace: int
-    told: int  # the time that the server is told
-    left: int  # the time that the client still waits
-
-
-def broken_by(write: Write) -> Iterator[str]:
-    """The names of the invariants that a write breaks; none as a rule."""
-    if write.answered:
-        yield "sent_after_the_final_answer"
-    if write.attempt >= write.attempts_most:
-        yield "sent_too_often"
-    if write.others_out:
-        yield "two_attempts_out"
-    if write.ran_since is not None and (
-        write.repeat is Idempotency.NOT_IDEMPOTENT
-        or (write.repeat is Idempotency.IDEMPOTENCY_KEY and write.ran_since >= write.window)
+NS_PER_MS = 1_000_000
+MAX_DISCONNECT_LATENCY_NS = 100 * NS_PER_MS  # after a client's disconnection an attempt may still begin
+DEADLINE_TOLERANCE_NS = 150 * NS_PER_MS
+
+
+class Invariant(StrEnum):
+    """A rule for requests that are written to servers; the value names it in logs and counters."""
+
+    NOT_ANSWERED = "sent_after_the_final_answer"
+    ATTEMPT_LIMIT = "sent_too_often"
+    ONE_ATTEMPT_IN_FLIGHT = "two_attempts_out"
+    NO_REPEATED_EXECUTION = "repeated_what_may_have_run"
+    CLIENT_CONNECTED = "sent_for_a_client_that_left"
+    ENDPOINT_AVAILABLE = "sent_to_a_server_that_left"
+    DEADLINE_NOT_EXTENDED = "told_more_time_than_is_left"
+
+
+class RequestWrite(NamedTuple):
+    """The state of one attempt as the last byte of its request is written. Durations are in ns."""
+
+    idempotency: Idempotency
+    deduplication_window_ns: int  # in which servers drop a repeated idempotency key
+    attempt_index: int  # from 0
+    max_attempts: int
+    other_attempt_count: int  # attempts of the same request in flight
+    is_answered: bool  # the client has its response
+    since_execution_ns: int | None  # since the first attempt that may have been executed; None: there is none
+    since_client_disconnect_ns: int | None  # since the node detected it; None: still connected
+    since_endpoint_removal_ns: int | None  # since the node was notified that it drains or is removed
+    drain_grace_ns: int
+    stated_timeout_ns: int  # the time left that the request states to the server
+    remaining_ns: int  # until the client's deadline
+
+
+def violated_invariants(write: RequestWrite) -> Iterator[Invariant]:
+    """Yield each invariant that a write violates."""
+    if write.is_answered:
+        yield Invariant.NOT_ANSWERED
+    if write.attempt_index >= write.max_attempts:
+        yield Invariant.ATTEMPT_LIMIT
+    if write.other_attempt_count:
+        yield Invariant.ONE_ATTEMPT_IN_FLIGHT
+    if write.since_execution_ns is not None and not _may_repeat(write, write.since_execution_ns):
+        yield Invariant.NO_REPEATED_EXECUTION
+    if (
+        write.since_client_disconnect_ns is not None
+        and write.since_client_disconnect_ns > MAX_DISCONNECT_LATENCY_NS
     ):
-        yield "repeated_what_may_have_run"
-    if write.client_left_since is not None and write.client_left_since > CLIENT_LEFT_MOST:
-        yield "sent_for_a_client_that_left"
-    if write.server_left_since is not None and write.server_left_since > write.drain_grace:
-        yield "sent_to_a_server_that_left"
-    if write.told > write.left + DEADLINE_SLACK:
-        yield "told_more_time_than_is_left"
+        yield Invariant.CLIENT_CONNECTED
+    if write.since_endpoint_removal_ns is not None and write.since_endpoint_removal_ns > write.drain_grace_ns:
+        yield Invariant.ENDPOINT_AVAILABLE
+    if write.stated_timeout_ns > write.remaining_ns + DEADLINE_TOLERANCE_NS:
+        yield Invariant.DEADLINE_NOT_EXTENDED
+
+
+def _may_repeat(write: RequestWrite, since_execution_ns: int) -> bool:
+    """Return whether a request that may have been executed may be written again."""
+    if write.idempotency is Idempotency.NOT_IDEMPOTENT:
+        return False
+    if write.idempotency is Idempotency.IDEMPOTENCY_KEY:
+        return since_execution_ns < write.deduplication_window_ns
+    return True
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -16,7 +16,7 @@
 from moleport.config.node_config import Config
 from moleport.node.dispatcher import ClientRequest, Dispatcher, hash_key
 from moleport.node.error_codes import Fault, fault_of
-from moleport.node.hold_detector import HOLD_LEAST
+from moleport.node.hold_detector import MIN_HOLD_NS
 from moleport.node.request_parser import UP, ParsedRequest, RequestParser
 from moleport.telemetry import Event
 
@@ -333,7 +333,7 @@
         self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         transport.set_write_buffer_limits(high=0)  # to be told when an answer's last byte is out
         now = monotonic_ns()
-        if now - self._unread_since < HOLD_LEAST or not self._shows(select.POLLIN):
+        if now - self._unread_since < MIN_HOLD_NS or not self._shows(select.POLLIN):
             self._unread_since = 0
         else:
             # The queue may have been there for long, and this client not.
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -8,18 +8,18 @@
 import httptools
 
 from moleport.config.node_config import Config
-from moleport.node.http_limits import BODY_MOST, HEAD_MOST, HOP_BY_HOP
+from moleport.node.http_limits import HOP_BY_HOP_HEADERS, MAX_BODY_BYTES, MAX_HEAD_BYTES
 from moleport.policy.interface import Idempotency
 
 FIELDS_MOST = 100  # headers
-FRAMING_MOST = 8 * BODY_MOST  # bytes that a body may take with its chunks' framing
+FRAMING_MOST = 8 * MAX_BODY_BYTES  # bytes that a body may take with its chunks' framing
 SLICE = 4096  # bytes read at once: what a client has sent ahead is read as its answers go out
 
 UP, API = b"/up", b"/api"
 DEADLINE = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 UNITS = {b"m": 1_000_000, b"u": 1_000}
 IDENTITY = re.compile(rb"[0-9A-Za-z._:~-]{1,64}")
-NOT_FORWARDED = HOP_BY_HOP | {b"x-deadline", b"expect"}
+NOT_FORWARDED = HOP_BY_HOP_HEADERS | {b"x-deadline", b"expect"}
 SINGLE = frozenset(
     (
         b"host",
@@ -105,7 +105,7 @@
 
     def check_length(self) -> None:
         length = self.fields.get(b"content-length", b"0")
-        if int(length) > BODY_MOST:  # the parser let only digits pass
+        if int(length) > MAX_BODY_BYTES:  # the parser let only digits pass
             raise InvalidRequestError(413)
         coding = self.fields.get(b"transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
@@ -166,7 +166,7 @@
         if incoming is not None and not self.error:
             # Lines without an end are never handed out.
             incoming.size += len(piece)
-            if incoming.size > (FRAMING_MOST if self._in_body else HEAD_MOST):
+            if incoming.size > (FRAMING_MOST if self._in_body else MAX_HEAD_BYTES):
                 self.error = 413 if self._in_body else 431
         if self.error:
             self._rest, self._incoming = b"", None
@@ -224,7 +224,7 @@
         incoming = self._incoming
         assert incoming is not None
         incoming.body += data
-        if len(incoming.body) > BODY_MOST:
+        if len(incoming.body) > MAX_BODY_BYTES:
             raise InvalidRequestError(413)
 
     def on_message_complete(self) -> None:
--- a/moleport/node/server_connection.py
+++ b/moleport/node/server_connection.py
@@ -11,17 +11,17 @@
 
 import httptools
 
-from moleport.node.error_codes import OWN, fault_of
-from moleport.node.http_limits import BODY_MOST, HEAD_MOST, HOP_BY_HOP
+from moleport.node.error_codes import LOCAL_FAULTS, fault_of
+from moleport.node.http_limits import HOP_BY_HOP_HEADERS, MAX_BODY_BYTES, MAX_HEAD_BYTES
 from moleport.policy.interface import AttemptResult
 
 if TYPE_CHECKING:
     from moleport.node.attempt import Attempt
     from moleport.node.connection_pool import ConnectionPool
 
-INTERIM_MOST = 16  # 1xx answers ahead of one
-NO_FAULT_OF_THE_REQUEST = (408, 429)  # 4xx, yet of the server's own time and load
-WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
+MAX_INTERIM_RESPONSES = 16  # 1xx answers ahead of one
+RETRYABLE_CLIENT_ERRORS = (408, 429)  # 4xx, yet of the server's own time and load
+STATUSES_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 
 
 class ServerResponse(NamedTuple):
@@ -42,7 +42,7 @@
         self._attempt: Attempt | None = None
         self.written = False  # the last byte of the request is with the kernel
         self.closed = False
-        self.idle_since = 0
+        self.idle_since_ns = 0
         self._reusable = False
         self._status = self._interims = 0
         self._headers: list[tuple[bytes, bytes]] = []
@@ -113,15 +113,15 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self._whole:
-                self._break(AttemptResult.ERROR)
+                self._fail(AttemptResult.ERROR)
                 return
             self._reusable = False
         if self._whole:
-            self._complete()
+            self._finish_attempt()
         elif self._in_head:
             self._size += len(data)
-            if self._size > HEAD_MOST:
-                self._break(AttemptResult.ERROR)
+            if self._size > MAX_HEAD_BYTES:
+                self._fail(AttemptResult.ERROR)
 
     def eof_received(self) -> bool:
         """The server's orderly end, which is also that of an answer that has no other. A 200 has a body: one
@@ -129,7 +129,7 @@
         whole = self._ends_with_connection and not self._in_head and self.written
         if whole and not self._is_reset() and (self._body or self._status != HTTPStatus.OK):
             self._whole = True
-            self._complete()
+            self._finish_attempt()
         return False
 
     def _is_reset(self) -> bool:
@@ -138,20 +138,20 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self._pool.lost(self)
-        if fault_of(exc) in OWN:
+        self._pool.on_disconnected(self)
+        if fault_of(exc) in LOCAL_FAULTS:
             # No fault of the server's. What was written may have run.
-            self._break(AttemptResult.CANCELLED, unwritten=AttemptResult.NOT_SENT)
+            self._fail(AttemptResult.CANCELLED, unwritten=AttemptResult.NOT_SENT)
         else:
-            self._break()
+            self._fail()
         self._parser = None  # the two hold each other, and would stay until the collector comes
 
-    def lost_unseen(self) -> None:
+    def on_connect_cancelled(self) -> None:
         """A dial that is cancelled just as it has come up is closed by the loop, which tells nobody."""
         if self._transport is not None and not self.closed:
             self.connection_lost(None)
 
-    def _break(
+    def _fail(
         self,
         result: AttemptResult = AttemptResult.RESET,
         unwritten: AttemptResult = AttemptResult.CONNECT_FAILED,
@@ -182,7 +182,7 @@
             self._not_run = value.strip() == b"1"
         elif lower == b"content-length":
             # Refused at its head: up to the limit, a body is read before it shows that it does not end.
-            if int(value) > BODY_MOST:
+            if int(value) > MAX_BODY_BYTES:
                 raise ValueError("an answer that is too long")
             self._framed = True
         elif lower == b"transfer-encoding":
@@ -190,7 +190,7 @@
             if coding not in (b"chunked", b"identity"):
                 raise ValueError("an answer in a coding that is not undone")
             self._framed = coding == b"chunked"
-        elif lower not in HOP_BY_HOP:
+        elif lower not in HOP_BY_HOP_HEADERS:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -198,16 +198,16 @@
         self._status = self._parser.get_status_code()
         if self._status < 200:
             self._interims += 1
-            if self._interims > INTERIM_MOST:
+            if self._interims > MAX_INTERIM_RESPONSES:
                 raise ValueError("interim answers without end")
         else:
-            self._ends_with_connection = not self._framed and self._status not in WITHOUT_BODY
+            self._ends_with_connection = not self._framed and self._status not in STATUSES_WITHOUT_BODY
         self._in_head = False
         self._size = 0
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
-        if self._size > BODY_MOST:
+        if self._size > MAX_BODY_BYTES:
             raise ValueError("an answer that is too long")
         self._body.append(data)
 
@@ -217,7 +217,7 @@
             self._reusable = self._parser.should_keep_alive()
             self._whole = True
 
-    def _complete(self) -> None:
+    def _finish_attempt(self) -> None:
         attempt = self._attempt
         if attempt is None:
             return
@@ -225,7 +225,7 @@
             result = AttemptResult.OK
         elif self._status in (503, 504) and self._not_run:
             result = AttemptResult.REJECTED
-        elif 400 <= self._status < 500 and self._status not in NO_FAULT_OF_THE_REQUEST:
+        elif 400 <= self._status < 500 and self._status not in RETRYABLE_CLIENT_ERRORS:
             result = AttemptResult.CLIENT_ERROR
         else:
             result = AttemptResult.ERROR
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -40,7 +40,7 @@
 
 
 def test_connections_are_used_again_the_latest_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "COOL_DOWN", 0)
+    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -62,7 +62,7 @@
 ) -> None:
     """A second copy of an answer came behind it, and was with the kernel when the next request went out: its
     client was served with the other one's answer."""
-    monkeypatch.setattr(connection_pool, "COOL_DOWN", 10**12)
+    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 10**12)
 
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
@@ -76,7 +76,7 @@
             assert (await client.ask(request(body=b"one"))).body == b"one"
             assert (await client.ask(request(body=b"two"))).body == b"two"
             assert server.connections == 2  # the first one rests
-            monkeypatch.setattr(connection_pool, "COOL_DOWN", 0)
+            monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
             (pool,) = rig.node._pools._pools.values()
             # Both are sent at once, before the loop can see what has come with them.
             for connection in pool.idle:
@@ -197,10 +197,10 @@
 def test_want_of_descriptors_is_no_fault_of_a_server_and_idle_ones_make_room() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Server("s-2") as other, Rig(configuration(server)) as rig:
-            rig.node._pools._sockets_most = 2
+            rig.node._pools._max_sockets = 2
             assert await ask_at_once(rig, 2) == [200, 200]
             rig.node._list_came(change(server, other))
-            rig.node._pools._sockets_most = 1
+            rig.node._pools._max_sockets = 1
             server.script = other.script = silent
             clients = [await rig.client() for _ in range(3)]
             for client in clients:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -67,7 +67,7 @@
 
 
 def test_a_request_whose_client_leaves_as_its_turn_comes_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "COOL_DOWN", 0)  # the connection is free for it at once
+    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)  # the connection is free for it at once
 
     async def slow(_: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.05)
@@ -97,7 +97,7 @@
 def test_clients_that_left_while_they_waited_for_a_place_are_not_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_pool, "COOL_DOWN", 0)
+    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -487,10 +487,10 @@
                     idle = {pool for pool in pools._pools.values() if pool.idle}
                     assert idle and idle <= set(pools.with_idle)
                     assert len(pools.with_idle) <= 15
-                    open_before, pools._sockets_most = pools.sockets, pools.sockets
-                    assert pools.make_room()  # the one that is idle longest is closed
+                    open_before, pools._max_sockets = pools.sockets, pools.sockets
+                    assert pools.ensure_capacity()  # the one that is idle longest is closed
                     await until(lambda before=open_before: pools.sockets < before)  # type: ignore[misc]
-                    pools._sockets_most = 400
+                    pools._max_sockets = 400
                     await until(lambda: not pools.sockets and not pools.with_idle)
 
     run(test())
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -643,7 +643,7 @@
 
     def late(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
-        (attempt,) = self._pool.dialing
+        (attempt,) = self._pool.connecting
         setattr(attempt, bound, 1)
 
     async def test() -> None:
