--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -10,7 +10,8 @@
 
 from moleport.node.connection_pool import ConnectionPool
 from moleport.node.error_codes import Fault, fault_of
-from moleport.node.server_connection import ServerConnection, ServerResponse
+from moleport.node.response_parser import ServerResponse
+from moleport.node.server_connection import ServerConnection
 from moleport.policy.interface import AttemptResult, EndpointId
 from moleport.telemetry import Event
 
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -22,7 +22,7 @@
 from moleport.node.discovery_watch import DiscoveryClient
 from moleport.node.hold_detector import HoldDetector
 from moleport.node.invariants import RequestWrite, violated_invariants
-from moleport.node.server_connection import ServerResponse
+from moleport.node.response_parser import ServerResponse
 from moleport.node.server_start_times import ServerStartTimes
 from moleport.policy import Balancer
 from moleport.policy import interface as api
