--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -17,7 +17,8 @@
 from moleport.node.dispatcher import ClientRequest, Dispatcher, hash_key
 from moleport.node.error_codes import Fault, fault_of
 from moleport.node.hold_detector import HOLD_LEAST
-from moleport.node.request_parser import UP, ParsedRequest, RequestParser
+from moleport.node.parsed_request import READINESS_PATH, ParsedRequest
+from moleport.node.request_parser import RequestParser
 from moleport.telemetry import Event
 
 log = logging.getLogger(__name__)
@@ -371,7 +372,7 @@
         self._half_closed = True
         if self._number:
             self._front.node.on_client_half_closed(self._number)
-        waits = self._busy or bool(self._reader.ready) or self._reader.has_unread()
+        waits = self._busy or bool(self._reader.ready) or self._reader.has_unparsed()
         return waits and not self._ends
 
     def has_disconnected(self) -> bool:
@@ -401,9 +402,9 @@
     def time_out(self) -> None:
         """The limit of the front: a client that has sent a part is told, one that has not is not."""
         telemetry = self._front.node.telemetry
-        if self._reader.is_partial():
+        if self._reader.has_partial_request():
             telemetry.count(Event.CLIENT_TIMED_OUT)
-            self._reader.error = 408
+            self._reader.error_status = 408
             self._next()
         elif self.close_if_quiet():
             telemetry.count(Event.CLIENT_CLOSED_IDLE)
@@ -416,23 +417,23 @@
             return
         self._in_turn = True
         while not self._busy and not self._ends and not transport.is_closing():
-            reader.go_on()
+            reader.parse_buffered()
             if reader.ready:
                 self._busy = True
                 self._front.mark_active(self)
                 self._serve(reader.ready.popleft())
-            elif reader.error:
+            elif reader.error_status:
                 # Where framing is lost nothing that follows can be read; what came before is answered.
                 self._busy = True
                 self._keep_alive = False
-                self.send_response(reader.error, [], b"")
+                self.send_response(reader.error_status, [], b"")
             else:
                 break
         self._in_turn = False
         if self._ends or transport.is_closing():
             return
         # While requests wait no more are read in: what a client sends ahead stays with the kernel.
-        if self._paused != bool(reader.ready or reader.has_unread()):
+        if self._paused != bool(reader.ready or reader.has_unparsed()):
             self._paused = not self._paused
             if self._paused:
                 if not self._unread_since or not self._shows(select.POLLIN):
@@ -448,7 +449,7 @@
             return
         if self._half_closed:
             self.close()
-        elif reader.is_partial():
+        elif reader.has_partial_request():
             self._front.mark_reading(self)
             if reader.wants_continue():
                 transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -458,7 +459,7 @@
     def _serve(self, incoming: ParsedRequest) -> None:
         self._keep_alive = incoming.keep_alive
         self._deadline = 0
-        if incoming.path == UP:
+        if incoming.path == READINESS_PATH:
             up = self._front.node.has_endpoints() and not self._front.stopping
             self.send_response(200 if up else 503, [], b"")
             return
@@ -553,5 +554,5 @@
         return True
 
     def close_if_unused(self) -> None:
-        if not self._busy and not self._reader.ready and not self._reader.is_partial():
+        if not self._busy and not self._reader.ready and not self._reader.has_partial_request():
             self.close_if_quiet()
