--- /dev/null
+++ b/moleport/node/node_factory.py
@@ -0,0 +1,26 @@
+"""Builds a node from its configuration and divides its descriptors between clients and servers."""
+
+from __future__ import annotations
+
+from moleport.config.node_config import Config
+from moleport.node.attempt import ConnectionPools
+from moleport.node.dispatcher import Dispatcher
+from moleport.node.listener import Listener
+
+# The interpreter's, the event loop's, the listening socket, discovery, and a margin.
+RESERVED_DESCRIPTORS_COUNT = 40
+CLIENT_DESCRIPTORS_RATIO = 0.55  # of the rest; the others are for servers
+
+
+def max_client_connections(max_sockets: int) -> int:
+    """Return how many of a node's descriptors are for client connections."""
+    return int((max_sockets - RESERVED_DESCRIPTORS_COUNT) * CLIENT_DESCRIPTORS_RATIO)
+
+
+def build_node(config: Config) -> tuple[Dispatcher, Listener]:
+    """Return a node that is not started yet; must be called in a running event loop."""
+    max_clients = max_client_connections(config.max_sockets)
+    max_servers = config.max_sockets - RESERVED_DESCRIPTORS_COUNT - max_clients
+    pools = ConnectionPools(max_servers, config.connect_timeout_ns, config.idle_timeout_ns)
+    dispatcher = Dispatcher(config, pools)
+    return dispatcher, Listener(dispatcher, config, max_clients)
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -19,12 +19,12 @@
 
 import uvloop
 
-from moleport.__main__ import build_node
 from moleport.config.endpoints import DiscoveredEndpoint, DiscoveryUpdate, parse_update
 from moleport.config.node_config import Config, load
 from moleport.node.attempt import ConnectionPools
 from moleport.node.discovery_watch import DiscoveryClient, WatchConnection
 from moleport.node.dispatcher import hash_name
+from moleport.node.node_factory import build_node
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from moleport.__main__ import build_node
 from moleport.config.node_config import Config, load
 from moleport.node.dispatcher import Dispatcher
 from moleport.node.listener import Listener
+from moleport.node.node_factory import build_node
 from moleport.policy import interface as api
 
 PATIENCE = 20.0  # s: only a test that has failed waits so long
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -37,8 +37,9 @@
     until,
 )
 
-from moleport.__main__ import CLIENTS_PART, RESERVED, SERVE_ON, plan_end
+from moleport.__main__ import SERVE_ON, plan_end
 from moleport.config.node_config import load
+from moleport.node.node_factory import max_client_connections
 
 ROOT = Path(__file__).parent.parent
 UP = request(target="/up", method="GET")
@@ -402,7 +403,7 @@
                     holders[-1].writer.write(request("order", body=b"held"))
                     await until(lambda: len(old.seen) >= len(holders) - 20)  # the server's own queue is short
                 await until(lambda: len(old.seen) == len(holders))
-                crowd = int((sockets - RESERVED) * CLIENTS_PART) - len(holders) + 300
+                crowd = max_client_connections(sockets) - len(holders) + 300
                 tasks = [asyncio.create_task(_idles(node, slot % 4 == 0)) for slot in range(crowd)]
                 await until(lambda: _queued(node) > 150)
                 for _ in range(3):
