--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a server: its leave to write, its connection, its time, its single end."""
+"""One attempt: a request at one server, from the permission to write it to its single result."""
 
 from __future__ import annotations
 
@@ -9,49 +9,68 @@
 from typing import Protocol
 
 from moleport.node.connection_pool import ConnectionPool
-from moleport.node.error_codes import Fault, fault_of
+from moleport.node.error_codes import Fault
 from moleport.node.response_parser import ServerResponse
 from moleport.node.server_connection import ServerConnection
 from moleport.policy.interface import AttemptResult, EndpointId
 from moleport.telemetry import Event
 
-INITIAL_BACKOFF_S = 0.0025  # s until a dial that failed for this machine's fault is tried again; doubles
+NS_PER_MS = 1_000_000
+NS_PER_S = 1e9
+NS_PER_US = 1000
+MS_PER_S = 1000
+BACKOFF_BASE_S = 0.0025  # doubled for each local fault in connecting
 MAX_BACKOFF_DOUBLINGS = 4
-MAX_BACKOFF_S = 0.04  # s
-MIN_UNREACHABLE_SERVERS = 2  # servers in a row that no way leads to: the way is at fault, not they
-MAX_UNREACHABLE_ATTEMPTS = 8  # dials, for some 0.25 s
-PERMISSION_POLL_INTERVAL_S = 0.002  # s until an attempt that has to wait asks for leave again
-MAX_TIMER_DELAY_NS = (
-    5_000_000  # ns that a timer may come behind its time before the process counts as held up
-)
+MAX_BACKOFF_S = 0.04
+MAX_ATTEMPTS_WITHOUT_ROUTE_COUNT = 8
+PERMISSION_POLL_INTERVAL_S = 0.002
+MAX_TIMER_DELAY_NS = 5 * NS_PER_MS  # a longer one means that the process was held up
+SOCKET_READ_DELAY_S = 0.001  # in which the event loop reads its sockets once
 
 
 class WritePermission(Enum):
-    """What the guard of all writes says of one that is about to begin."""
+    """The owner's answer to an attempt that is about to connect or to write."""
 
     GRANTED = "write"
-    WAIT = "wait"  # ask again soon
-    DENIED = "stop"  # nothing may be written for this attempt any more
+    WAIT = "wait"  # poll again soon
+    DENIED = "stop"  # the attempt ends unsent
 
 
 class AttemptOwner(Protocol):
-    """Who an attempt asks before each write and dial, and tells of what became of it."""
+    """The party that starts attempts, permits their writes and takes their results."""
 
-    def check_write_permission(self, attempt: Attempt) -> WritePermission: ...
+    def check_write_permission(self, attempt: Attempt) -> WritePermission:
+        """Return whether the attempt may connect, or write, now."""
+        ...
 
     def record_attempt_event(self, attempt: Attempt, event: Event) -> None:
-        """Why it goes no further, or on."""
+        """Count and trace an event of the attempt."""
 
-    def on_request_written(self, attempt: Attempt, told: int) -> None:
-        """Its last byte is with the kernel, or soon will be; the server was told of `told` ns."""
+    def on_request_written(self, attempt: Attempt, timeout_ns: int) -> None:
+        """Handle a request that is with the kernel, or in the write buffer in front of it.
+
+        `timeout_ns` is the time left that the request states to the server.
+        """
 
     def on_attempt_ended(
-        self, attempt: Attempt, result: AttemptResult, answer: ServerResponse | None
-    ) -> None: ...
+        self, attempt: Attempt, result: AttemptResult, response: ServerResponse | None
+    ) -> None:
+        """Handle the result of an attempt; it comes exactly once for each."""
 
 
 class Attempt:
-    """One request at one server. It ends once: by `end`, and then its owner hears of it."""
+    """One request at one server.
+
+    It goes through these states, and from each of them to its end:
+
+    1. waiting for permission: polls its owner (`_retry_timer`), also after a backoff
+    2. connecting (`_connect_task`), if the pool has no idle connection
+    3. connected, waiting for permission to write (`_new_connection`, `_retry_timer`)
+    4. in flight: the request is written, or being written, to `_connection`
+    5. ended (`done`): by a response, a fault, a timer or `cancel`
+
+    `end` is the only way to the last state; only its first call has an effect.
+    """
 
     __slots__ = (
         "_body",
@@ -88,76 +107,115 @@
         expires_at_ns: int,
         write_deadline_ns: int,
     ) -> None:
-        self.request_number = request_number  # its number
+        """Prepare an attempt that begins with `start`.
+
+        `head` is the request line and the headers without the closing empty line. All times are monotonic,
+        in ns; a `write_deadline_ns` of 0 sets no such limit.
+        """
+        self.request_number = request_number
         self.index = index  # among the attempts of its request, from 0
         self.endpoint_id = endpoint_id
         self.pool = pool
-        self.started_at_ns = started_at_ns  # monotonic ns, less the holds up to then
-        self.expires_at_ns = expires_at_ns  # monotonic ns
-        self.write_deadline_ns = write_deadline_ns  # monotonic ns; 0: no such bound
-        self.written_at_ns = 0  # monotonic ns, when it was written; 0: it was not
+        self.started_at_ns = started_at_ns  # less the sum of holds until then, plus backoffs
+        self.expires_at_ns = expires_at_ns
+        self.write_deadline_ns = write_deadline_ns
+        self.written_at_ns = 0  # 0: not written
         self.done = False
         self._head = head
         self._body = body
         self._owner = owner
         self._connection: ServerConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
-        self._new_connection: ServerConnection | None = (
-            None  # has come up, and waits for leave to be written to
-        )
+        self._new_connection: ServerConnection | None = None
         self._retry_timer: asyncio.TimerHandle | None = None
-        self._local_fault_count = 0  # dials that failed for this machine's fault
+        self._local_fault_count = 0  # connects that failed for a fault of this machine or its network
         self._timer: asyncio.TimerHandle | None = None
         self._write_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Begin the attempt; it may end within this call."""
         if self.write_deadline_ns:
-            left = max(0, self.write_deadline_ns - monotonic_ns()) / 1e9
-            self._write_timer = asyncio.get_running_loop().call_later(left, self.give_up_unwritten)
+            remaining_s = max(0, self.write_deadline_ns - monotonic_ns()) / NS_PER_S
+            self._write_timer = asyncio.get_running_loop().call_later(remaining_s, self.give_up_unwritten)
         self._acquire_connection()
 
+    def cancel(self) -> None:
+        """End the attempt because its request needs no response any more."""
+        self.end(AttemptResult.CANCELLED)
+
+    def give_up_unwritten(self) -> None:
+        """End the attempt unless its request has been written."""
+        if not self._is_written():
+            self.end(AttemptResult.NOT_SENT)
+
+    def end(self, result: AttemptResult, response: ServerResponse | None = None) -> None:
+        """Release timers and connections, and report the result to the owner; later calls have no effect."""
+        if self.done:
+            return
+        self.done = True
+        for timer in (self._timer, self._write_timer, self._retry_timer):
+            if timer is not None:
+                timer.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+        self.pool.connecting.pop(self, None)
+        new_connection, self._new_connection = self._new_connection, None
+        if new_connection is not None:
+            self.pool.return_unused(new_connection)
+        connection, self._connection = self._connection, None
+        if connection is not None:
+            connection.release(self)
+        self._owner.on_attempt_ended(self, result, response)
+
+    # Connecting.
+
     def _acquire_connection(self) -> None:
-        """Write on a connection that is idle, or dial one. Neither without leave: the client may have left
-        since the request was read, and a dial costs its server as well."""
+        """Write to an idle connection, or open one, if the owner permits it.
+
+        Connecting needs permission too: it costs the server, and the client may have disconnected.
+        """
         if not self._has_permission(self._acquire_connection):
             return
-        if (connection := self.pool.take()) is not None:
+        connection = self.pool.take()
+        if connection is not None:
             self._write_request(connection)
         elif not self.pool.pools.ensure_capacity():
-            # The node's own want of descriptors is no failure of the server.
+            # A lack of descriptors in this process is no fault of the server.
             self.end(AttemptResult.NOT_SENT)
         else:
             self.pool.connecting[self] = None
             self._start_timer(min(self.expires_at_ns, monotonic_ns() + self.pool.pools.connect_timeout_ns))
             self._connect_task = asyncio.get_running_loop().create_task(self._open_connection())
 
-    def _has_permission(self, again: Callable[[], None]) -> bool:
-        """Whether its owner lets it go on now; if it has to wait, `again` is called soon."""
-        permit = self._owner.check_write_permission(self)
-        if permit is WritePermission.DENIED:
+    def _has_permission(self, retry: Callable[[], None]) -> bool:
+        """Return whether the owner permits to go on; if it wants the attempt to wait, schedule `retry`."""
+        permission = self._owner.check_write_permission(self)
+        if permission is WritePermission.DENIED:
             self.end(AttemptResult.NOT_SENT)
-        elif permit is WritePermission.WAIT:
-            self._retry_timer = asyncio.get_running_loop().call_later(PERMISSION_POLL_INTERVAL_S, again)
-        return permit is WritePermission.GRANTED
+        elif permission is WritePermission.WAIT:
+            self._retry_timer = asyncio.get_running_loop().call_later(PERMISSION_POLL_INTERVAL_S, retry)
+        return permission is WritePermission.GRANTED
 
     async def _open_connection(self) -> None:
+        """Connect to the server, and write the request or handle the error."""
         connection = ServerConnection(self.pool)
-        self.pool.pools.sockets += 1  # while it is dialed; an open connection counts itself
+        pools = self.pool.pools
+        pools.sockets += 1  # while it is connecting; an open connection counts itself
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *self.pool.address)
         except asyncio.CancelledError:
             connection.on_connect_cancelled()
             raise
-        except OSError as problem:
+        except OSError as error:
             self._connect_task = None
-            self._on_connect_failed(fault_of(problem))
+            self._on_connect_failed(pools.fault_of_connect_error(self.pool.address, error))
             return
         finally:
-            self.pool.pools.sockets -= 1
+            pools.sockets -= 1
         self._connect_task = None
         self.pool.connecting.pop(self, None)
-        self.pool.pools.unreachable.clear()
-        if self.done:  # it ended in the moment in which the connection came up
+        pools.on_connected()
+        if self.done:  # it ended in the same iteration of the event loop
             connection.close()
         elif connection.closed:
             self.end(AttemptResult.CONNECT_FAILED)
@@ -166,106 +224,95 @@
             self._write_to_new_connection()
 
     def _on_connect_failed(self, fault: Fault) -> None:
-        """What is this machine's fault passes, and is no reason to try, or to blame, another server."""
-        pools = self.pool.pools
-        if fault is Fault.PATH:
-            pools.unreachable.add(self.pool.address)
-            # One server that nothing reaches is lost; several without one that is reached are cut off alike.
-            if len(pools.unreachable) < min(MIN_UNREACHABLE_SERVERS, len(pools.endpoint_ids())):
-                fault = Fault.PEER
+        """End the attempt if the server is at fault; else connect to the same server after a backoff.
+
+        A local fault is transient, and an attempt at another server would meet it too.
+        """
         if fault is Fault.PEER:
             self._owner.record_attempt_event(self, Event.DIAL_FAILED)
             self.end(AttemptResult.CONNECT_FAILED)
             return
         self._owner.record_attempt_event(self, Event.DIAL_FAILED_LOCALLY)
         self._local_fault_count += 1
-        if self._local_fault_count > MAX_UNREACHABLE_ATTEMPTS and fault is Fault.PATH:
+        if fault is Fault.PATH and self._local_fault_count > MAX_ATTEMPTS_WITHOUT_ROUTE_COUNT:
             self.end(AttemptResult.NOT_SENT)
             return
         if fault is Fault.DESCRIPTORS:
-            pools.close_longest_idle()
-        pause = min(
-            MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(self._local_fault_count, MAX_BACKOFF_DOUBLINGS)
-        )
-        self.started_at_ns += int(pause * 1e9)  # no time of the server's
-        self._retry_timer = asyncio.get_running_loop().call_later(pause, self._acquire_connection)
+            self.pool.pools.close_longest_idle()
+        doublings = min(self._local_fault_count, MAX_BACKOFF_DOUBLINGS)
+        backoff_s = min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2**doublings)
+        self.started_at_ns += int(backoff_s * NS_PER_S)  # not part of the server's response time
+        self._retry_timer = asyncio.get_running_loop().call_later(backoff_s, self._acquire_connection)
+
+    # Writing.
 
     def _write_to_new_connection(self) -> None:
-        """While it was dialed the client may have left, or the server."""
-        if self._has_permission(self._write_to_new_connection):
-            connection, self._new_connection = self._new_connection, None
-            assert connection is not None
-            self._write_request(connection)
+        """Write the request if the owner still permits it after connecting."""
+        if not self._has_permission(self._write_to_new_connection):
+            return
+        connection, self._new_connection = self._new_connection, None
+        assert connection is not None
+        self._write_request(connection)
 
     def _write_request(self, connection: ServerConnection) -> None:
-        if connection.closed:  # it ended while the attempt waited
+        """Write the request with the time that is left, unless there is none."""
+        if connection.closed:  # by the server, while the attempt waited
             self.end(AttemptResult.CONNECT_FAILED)
             return
         now = monotonic_ns()
-        left = self.expires_at_ns - now
-        too_late_to_write = 0 < self.write_deadline_ns <= now
-        if left <= 0 or too_late_to_write:
+        remaining_ns = self.expires_at_ns - now
+        is_write_overdue = 0 < self.write_deadline_ns <= now
+        if remaining_ns <= 0 or is_write_overdue:
             self._owner.record_attempt_event(self, Event.ATTEMPT_STOPPED_TOO_LATE)
             self.pool.return_unused(connection)
-            # That the time to write it was short is no failure of the server.
-            self.end(AttemptResult.NOT_SENT if too_late_to_write else AttemptResult.CONNECT_FAILED)
+            # A passed write deadline is no fault of the server.
+            self.end(AttemptResult.NOT_SENT if is_write_overdue else AttemptResult.CONNECT_FAILED)
             return
         self._connection = connection
         self._start_timer(self.expires_at_ns)
-        connection.send(self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, left // 1000, self._body))
-        self._owner.on_request_written(self, left)
+        connection.send(
+            self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, remaining_ns // NS_PER_US, self._body)
+        )
+        self._owner.on_request_written(self, remaining_ns)
+
+    def _is_written(self) -> bool:
+        """Return whether the last byte of the request is with the kernel."""
+        return self._connection is not None and self._connection.written
 
-    def _start_timer(self, at: int) -> None:
-        # The loop counts in whole milliseconds and rounds. Guards against a time-out that comes a little
-        # early: the module would find time left, and spend a further attempt that has none on each of the
-        # other servers, to each of which it would look like a failure.
+    # Time limits.
+
+    def _start_timer(self, expires_at_ns: int) -> None:
+        """Set the timer that ends the attempt, in place of one that is set, never ahead of the time given.
+
+        The event loop rounds to milliseconds. An attempt that timed out early would leave time for retries
+        too short for any server to answer, which would count as failures of these servers.
+        """
         if self._timer is not None:
             self._timer.cancel()
-        delay = max(0, at - monotonic_ns()) // 1_000_000 + 1
-        self._timer = asyncio.get_running_loop().call_later(delay / 1000, self._on_timer, at)
+        delay_ms = max(0, expires_at_ns - monotonic_ns()) // NS_PER_MS + 1
+        self._timer = asyncio.get_running_loop().call_later(
+            delay_ms / MS_PER_S, self._on_timer, expires_at_ns
+        )
+
+    def _on_timer(self, expires_at_ns: int) -> None:
+        """End the attempt as timed out.
 
-    def _on_timer(self, at: int) -> None:
+        After a hold the event loop may run timers ahead of its sockets, with the response unread in the
+        kernel. An overdue timer therefore lets it read the sockets first.
+        """
         now = monotonic_ns()
-        if now < at:
-            self._start_timer(at)
-            return
-        if now > at + MAX_TIMER_DELAY_NS:
-            # The loop looks at timers ahead of its sockets. Guards against a process that was held up: what
-            # was answered meanwhile is with the kernel, and would be given up unread.
-            self._timer = asyncio.get_running_loop().call_later(0.001, self._end_timed_out)
+        if now < expires_at_ns:
+            self._start_timer(expires_at_ns)
+        elif now > expires_at_ns + MAX_TIMER_DELAY_NS:
+            self._timer = asyncio.get_running_loop().call_later(SOCKET_READ_DELAY_S, self._end_timed_out)
         else:
             self._end_timed_out()
 
     def _end_timed_out(self) -> None:
+        """End the attempt with the result that fits how far it got."""
         if self._is_written():
             self.end(AttemptResult.TIMEOUT)
-        else:
-            self.end(AttemptResult.NOT_SENT if self._local_fault_count else AttemptResult.CONNECT_FAILED)
-
-    def _is_written(self) -> bool:
-        return self._connection is not None and self._connection.written
-
-    def give_up_unwritten(self) -> None:
-        if not self._is_written():
+        elif self._local_fault_count:
             self.end(AttemptResult.NOT_SENT)
-
-    def cancel(self) -> None:
-        self.end(AttemptResult.CANCELLED)
-
-    def end(self, result: AttemptResult, answer: ServerResponse | None = None) -> None:
-        if self.done:
-            return
-        self.done = True
-        for timer in (self._timer, self._write_timer, self._retry_timer):
-            if timer is not None:
-                timer.cancel()
-        if self._connect_task is not None:
-            self._connect_task.cancel()
-        self.pool.connecting.pop(self, None)
-        dialed, self._new_connection = self._new_connection, None
-        if dialed is not None:
-            self.pool.return_unused(dialed)
-        connection, self._connection = self._connection, None
-        if connection is not None:
-            connection.release(self)
-        self._owner.on_attempt_ended(self, result, answer)
+        else:
+            self.end(AttemptResult.CONNECT_FAILED)
--- a/moleport/node/connection_pools.py
+++ b/moleport/node/connection_pools.py
@@ -1,4 +1,4 @@
-"""The pools of all servers, within the sockets that the node may use for them."""
+"""The connection pools of all servers, within the sockets that the node may use for them."""
 
 from __future__ import annotations
 
@@ -7,69 +7,94 @@
 from time import monotonic_ns
 
 from moleport.node.connection_pool import ConnectionPool
+from moleport.node.error_codes import Fault, fault_of
 from moleport.policy.interface import EndpointId
 
-IDLE_TIMEOUT_FRACTION = (
-    0.9  # of the server's idle limit: what is written to a connection after that limit is lost
-)
+NS_PER_S = 1e9
+IDLE_TIMEOUT_FRACTION = 0.9  # of the server's idle timeout: a request that is written after that is lost
+MIN_UNREACHABLE_SERVERS = 2  # as many without a route mean that the network is at fault
 
 
 class ConnectionPools:
-    """All pools, within the descriptors that the node may use for servers."""
+    """One connection pool for each endpoint, and the limit on sockets over all of them."""
 
-    def __init__(self, sockets_most: int, connect_timeout_ns: int, idle_close: int) -> None:
-        self.sockets = 0  # open or being dialed
+    def __init__(self, max_sockets: int, connect_timeout_ns: int, idle_timeout_ns: int) -> None:
+        """Start without pools; `idle_timeout_ns` is that of the servers."""
+        self.sockets = 0  # open or connecting
         self.connect_timeout_ns = connect_timeout_ns
-        self.idle_limit_ns = int(idle_close * IDLE_TIMEOUT_FRACTION)
-        self._max_sockets = sockets_most
+        self.idle_limit_ns = int(idle_timeout_ns * IDLE_TIMEOUT_FRACTION)
+        self.with_idle: dict[ConnectionPool, None] = {}  # an ordered set; may hold pools without idle ones
+        self._max_sockets = max_sockets
         self._pools: dict[EndpointId, ConnectionPool] = {}
-        self.unreachable: set[tuple[str, int]] = set()  # addresses, since a dial last came up
-        self.with_idle: dict[
-            ConnectionPool, None
-        ] = {}  # all with idle connections, and some that had one lately
-        self._sweep_interval_s = idle_close * (1 - IDLE_TIMEOUT_FRACTION) / 2 / 1e9
+        self._unreachable: set[tuple[str, int]] = set()  # addresses without a route since the last success
+        self._sweep_interval_s = idle_timeout_ns * (1 - IDLE_TIMEOUT_FRACTION) / 2 / NS_PER_S
 
     def start(self) -> None:
+        """Schedule the next sweep of idle connections on the running event loop."""
         asyncio.get_running_loop().call_later(self._sweep_interval_s, self._close_expired)
 
     def _close_expired(self) -> None:
-        before = monotonic_ns() - self.idle_limit_ns
+        """Close connections that have been idle for too long, and schedule the next sweep."""
+        idle_before_ns = monotonic_ns() - self.idle_limit_ns
         for pool in list(self.with_idle):
-            pool.close_idle(before)
+            pool.close_idle(idle_before_ns)
             if not pool.idle:
                 del self.with_idle[pool]
         self.start()
 
-    def get(self, server: EndpointId) -> ConnectionPool | None:
-        return self._pools.get(server)
+    def get(self, endpoint_id: EndpointId) -> ConnectionPool | None:
+        """Return the pool of an endpoint, or None if nothing may be sent to it."""
+        return self._pools.get(endpoint_id)
 
-    def add_endpoint(self, server: EndpointId, address: tuple[str, int], started: int) -> None:
-        pool = self._pools.get(server)
-        if pool is not None and (pool.address, pool.started_at_ns) == (address, started):
+    def add_endpoint(self, endpoint_id: EndpointId, address: tuple[str, int], started_at_ns: int) -> None:
+        """Give an endpoint a pool, a new one if its address (host, port) or start time has changed."""
+        pool = self._pools.get(endpoint_id)
+        if pool is not None and (pool.address, pool.started_at_ns) == (address, started_at_ns):
             return
-        self._pools[server] = ConnectionPool(self, address, started)
+        self._pools[endpoint_id] = ConnectionPool(self, address, started_at_ns)
         if pool is not None:
             pool.retire()
 
-    def retire_endpoint(self, server: EndpointId) -> None:
-        pool = self._pools.pop(server, None)
+    def retire_endpoint(self, endpoint_id: EndpointId) -> None:
+        """Remove and retire the pool of an endpoint, if it has one."""
+        pool = self._pools.pop(endpoint_id, None)
         if pool is not None:
             pool.retire()
 
     def endpoint_ids(self) -> KeysView[EndpointId]:
-        """Those that have a pool: a live view."""
+        """Return a live view of the endpoints that have a pool."""
         return self._pools.keys()
 
     def ensure_capacity(self) -> bool:
-        """Whether one more connection may be opened; closes the longest idle one to make room."""
+        """Return whether one more connection may be opened, after closing an idle one if need be."""
         return self.sockets < self._max_sockets or self.close_longest_idle()
 
     def close_longest_idle(self) -> bool:
-        """Free the descriptor of the longest idle connection; False if none is idle."""
-        idle = [pool for pool in self.with_idle if pool.idle]
-        if not idle:
+        """Close the connection that has been idle longest, and return whether there was one.
+
+        Its descriptor is free only in a later iteration of the event loop.
+        """
+        idle_pools = [pool for pool in self.with_idle if pool.idle]
+        if not idle_pools:
             return False
-        # Its descriptor is free only once the transport is gone, so one is kept in reserve for each dial.
-        oldest = min(idle, key=lambda pool: pool.idle[0].idle_since_ns)
+        oldest = min(idle_pools, key=lambda pool: pool.idle[0].idle_since_ns)
         oldest.idle.pop(0).close()
         return True
+
+    def on_connected(self) -> None:
+        """Note that a server can be reached, so that the network is not at fault."""
+        self._unreachable.clear()
+
+    def fault_of_connect_error(self, address: tuple[str, int], error: OSError) -> Fault:
+        """Return the party at fault for an error in connecting to an address.
+
+        A single server without a route is itself at fault. Several, with no successful connection between
+        them, mean that the network is.
+        """
+        fault = fault_of(error)
+        if fault is not Fault.PATH:
+            return fault
+        self._unreachable.add(address)
+        if len(self._unreachable) < min(MIN_UNREACHABLE_SERVERS, len(self._pools)):
+            return Fault.PEER
+        return Fault.PATH
