--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -37,7 +37,7 @@
 
 MS = 1_000_000  # ns
 TRANSIT = 5 * MS  # a final answer sets out so much before the client's deadline, to be there in time
-MENDED_AFTER = 1_000 * MS  # a timer whose event the module failed on is set again after so long
+MENDED_AFTER = 1_000 * MS  # a timer whose event the policy failed on is set again after so long
 REPORT_MOST = 1024  # bytes of a load report
 SLICE = 256  # entries of a list that the module is told of in one turn of the loop
 WATCH_PAUSE = 0.03  # s, where lists are pushed: from the end of a watch to the next; doubles each time
@@ -196,7 +196,7 @@
         try:
             return self._balancer.handle(monotonic_ns(), event)
         except Exception:
-            log.exception("the module failed on %r", event)
+            log.exception("the policy failed on %r", event)
         if isinstance(event, api.TimerFired):
             # Some of the module's timers each set the next: one failure would stop them for good.
             self._set_timer(monotonic_ns() + MENDED_AFTER, event.timer_id)
@@ -218,10 +218,10 @@
         if isinstance(action, api.Forward):
             self._send(action)
         elif isinstance(action, api.Reject):
-            self.telemetry.count(Event.REQUEST_REFUSED_BY_MODULE, request=action.request_id)
+            self.telemetry.count(Event.REQUEST_REJECTED_BY_POLICY, request=action.request_id)
             self._answer(action.request_id, 503, _advice(action.retry_after_ns))
         elif isinstance(action, api.Fail):
-            self.telemetry.count(Event.REQUEST_FAILED_BY_MODULE, request=action.request_id)
+            self.telemetry.count(Event.REQUEST_FAILED_BY_POLICY, request=action.request_id)
             request = self._open.get(action.request_id)
             late = request is not None and monotonic_ns() >= request.call.deadline_ns - TRANSIT
             self._answer(action.request_id, 504 if late else 502, [])
@@ -252,17 +252,17 @@
         self._last_number += 1
         now = monotonic_ns()
         request = ActiveRequest(self._last_number, call)
-        self.telemetry.count(Event.REQUEST_TAKEN, request=request.number, id=call.request_id)
+        self.telemetry.count(Event.REQUEST_RECEIVED, request=request.number, id=call.request_id)
         left = call.deadline_ns - TRANSIT - now
         if left <= 0:
-            self.telemetry.count(Event.REQUEST_EXPIRED_UNREAD, request=request.number)
+            self.telemetry.count(Event.REQUEST_EXPIRED_ON_ARRIVAL, request=request.number)
             call.client.send_response(504, [], b"")
         elif call.request_id in self._identities:
             # Guards against a stranger that sends another client's id: a server would take it for a copy.
             self.telemetry.count(Event.REQUEST_DUPLICATE_ID, request=request.number)
             call.client.send_response(409, [], b"")
         elif self._ending or len(self._open) >= self._config.max_requests:
-            refusal = Event.REQUEST_REFUSED_AT_END if self._ending else Event.REQUEST_REFUSED_BY_LIMIT
+            refusal = Event.REQUEST_REJECTED_AT_SHUTDOWN if self._ending else Event.REQUEST_REJECTED_BY_LIMIT
             self.telemetry.count(refusal, request=request.number)
             call.client.send_response(503, self.retry_after_headers(), b"")
         else:
@@ -285,7 +285,7 @@
         request = self._open.get(number)
         if request is None or request.answered:
             return
-        self.telemetry.count(Event.CLIENT_LEFT, request=number)
+        self.telemetry.count(Event.CLIENT_DISCONNECTED, request=number)
         self._close(request)
 
     def on_client_half_closed(self, number: int) -> None:
@@ -294,7 +294,7 @@
         request = self._open.get(number)
         if request is None or request.answered or request.left_at:
             return
-        self.telemetry.count(Event.CLIENT_LEFT, request=number)
+        self.telemetry.count(Event.CLIENT_DISCONNECTED, request=number)
         request.left_at = monotonic_ns()
         self._tell(api.ClientDisconnected(number, is_half_closed=True))
         for attempt in list(request.out.values()):
@@ -348,7 +348,7 @@
         pool = self._pools.get(action.endpoint_id)
         too_many = index >= self._config.policy_settings.max_attempts
         if pool is None or request.answered or too_many:
-            stopped = Event.ATTEMPT_STOPPED_SERVER_LEFT if pool is None else Event.ATTEMPT_STOPPED_LIMIT
+            stopped = Event.ATTEMPT_STOPPED_SERVER_REMOVED if pool is None else Event.ATTEMPT_STOPPED_LIMIT
             self.telemetry.count(stopped, request=request.number, attempt=index)
             self._tell(
                 api.AttemptOutcome(
@@ -380,14 +380,14 @@
         if request is None or request.answered:
             return WritePermission.DENIED
         if attempt.pool.retired:
-            self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_LEFT)
+            self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_REMOVED)
             return WritePermission.DENIED
         if self.hold_detector.is_settling():
             # News of the list may lie beside the requests, and be older than the grace of a drain.
-            self.record_attempt_event(attempt, Event.ATTEMPT_HELD_FOR_NEWS)
+            self.record_attempt_event(attempt, Event.ATTEMPT_DELAYED_AFTER_STALL)
             return WritePermission.WAIT
         if request.left_at or request.call.client.has_disconnected():
-            self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_CLIENT_LEFT)
+            self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_CLIENT_DISCONNECTED)
             self.on_client_half_closed(request.number)
             return WritePermission.DENIED
         return WritePermission.GRANTED
@@ -403,7 +403,7 @@
         assert request is not None  # it has this attempt out
         self.record_attempt_event(attempt, Event.ATTEMPT_WRITTEN)
         if attempt.index:
-            self.telemetry.count(Event.ATTEMPT_REPEATED)
+            self.telemetry.count(Event.ATTEMPT_RETRIED)
         now = monotonic_ns()
         kind = self._config.policy_settings.classes[request.call.class_index]
         pool = attempt.pool
--- a/soak/nodes.py
+++ b/soak/nodes.py
@@ -21,7 +21,7 @@
 READY_WITHIN = 10.0  # s
 LONGEST_DEADLINE = 3.0  # s that the platform waits at least, after SIGTERM
 KILLED_AFTER = LONGEST_DEADLINE + 0.7  # s after SIGTERM
-ENDING_FAULTS = ("Traceback", "invariant violated", "the module failed", "action failed")
+ENDING_FAULTS = ("Traceback", "invariant violated", "the policy failed", "action failed")
 
 
 def free_port() -> int:
@@ -160,7 +160,7 @@
     def read_log(self) -> None:
         """What the node itself said: the requests that it has read, and faults of its own."""
         for line in self._log.read_text(errors="replace").splitlines():
-            if '"event": "request_taken"' in line:
+            if '"event": "request_received"' in line:
                 identity = json.loads(line[line.index("{") :])["id"]
                 self._record.taken.add(identity.removeprefix("b'").removesuffix("'"))
             elif any(fault in line for fault in ENDING_FAULTS):
