--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -141,7 +141,7 @@
         self._pools.start()
         self.hold_detector.start()
         self._act_on(self._balancer.start(monotonic_ns()))
-        self._starts.learn(self._config.cached_endpoints.endpoints, monotonic_ns())
+        self._starts.record(self._config.cached_endpoints.endpoints, monotonic_ns())
         self._follow(EndpointUpdateKind.CACHED, self._config.cached_endpoints.endpoints)
         if self._config.policy_settings.discovery_mode is DiscoveryMode.PUSH:
             self._discovery.watch()
@@ -471,8 +471,8 @@
 
     def _list_came(self, update: DiscoveryUpdate) -> None:
         self._failed_watches = 0
-        self._starts.learn(update.endpoints, monotonic_ns())
-        self._starts.end_first_list()
+        self._starts.record(update.endpoints, monotonic_ns())
+        self._starts.end_initial_list()
         self._follow(
             EndpointUpdateKind.SNAPSHOT if update.is_snapshot else EndpointUpdateKind.DELTA, update.endpoints
         )
@@ -563,7 +563,7 @@
         self._tell(api.EndpointUpdate(kind, servers))
         for identity in leaving:
             self._pools.retire_endpoint(identity)
-        self._starts.trim(self._hosts)
+        self._starts.forget_removed(self._hosts)
 
     def _server(self, host: DiscoveredEndpoint) -> api.Endpoint:
         zones, kinds = self._config.zone_indices, self._config.hardware_type_indices
@@ -573,6 +573,6 @@
             host.cell,
             host.state,
             host.weight,
-            self._starts.translate(host),
+            self._starts.started_at_ns(host),
             kinds.get(host.hardware_type, len(kinds)),
         )
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -1,18 +1,18 @@
-"""When servers started, on the node's monotonic clock.
+"""Start times of servers on the node's monotonic clock.
 
-The list gives each start as a Unix time, read from a wall clock that may be wrong, or may be stepped while
-the node runs. A span of real time therefore begins where the node can know that it did:
+The endpoint list gives each start as a Unix time, read from a wall clock that may be wrong or may be stepped
+while the node runs. Start times are therefore translated as follows:
 
-- The first list names starts that the node did not see. The newest of them is taken to be now, and the others
-  are as much older as their figures say. No start lies in the future, whatever the node's own clock says. The
-  error: servers that started a while ago count as younger than they are, at most by the age of the newest,
-  for at most one cold time after the node's own start. A server whose own clock was behind by some time when
-  it started counts as older by so much.
-- A start that is told later, of a new server or with a figure that differs from the one held, is now. The
-  error: it counts as younger than it is by as much as the news was late.
+- In the initial list (the configuration's, and the first update), which names starts that the node did not
+  observe, the newest start is taken to be now, and the others as much older as their Unix times are. The
+  node's own wall clock is not used. The error: servers count as younger than they are, by at most the age of
+  the newest, and for at most one slow start duration. A server whose own clock was slow as it started counts
+  as older by that amount.
+- A start that is reported later, of a new server or with a changed Unix time, is now. The error: it counts as
+  younger than it is by the delay of the update.
 
-Both err on the side on which warm servers are taken for cold, which costs service; the other way cold ones
-would be overdriven, which is a broken rule.
+Both errors prefer to take a warm server for one in slow start, which costs capacity, over the reverse, which
+would overload a server in slow start.
 """
 
 from __future__ import annotations
@@ -23,48 +23,66 @@
 from moleport.config.endpoints import DiscoveredEndpoint
 from moleport.policy.interface import EndpointState
 
-MS = 1_000_000  # ns
-REMEMBERED_MOST = 1024  # starts of servers that have left, beside as many as are listed; one may return
+NS_PER_MS = 1_000_000
+MAX_REMOVED_SERVERS = 1024  # remembered beside as many as are listed, as a server may return
 
 
-class Start(NamedTuple):
-    figure_ms: int  # Unix time, as the list gives it
-    at: int  # monotonic ns
+class RecordedStart(NamedTuple):
+    """The latest start of one server."""
+
+    reported_ms: int  # Unix time in the endpoint list
+    started_at_ns: int  # monotonic ns
 
 
 class ServerStartTimes:
-    """The start of each server that the list has named."""
+    """The latest start of each server that the endpoint list has named."""
 
     def __init__(self) -> None:
-        self._starts: dict[str, Start] = {}  # by id; the latest told last
-        self._first_list = True
-        self._newest_ms = 0  # of the figures in the first list
-
-    def learn(self, hosts: Iterable[DiscoveredEndpoint], now: int) -> None:
-        """Entries that are about to be translated, `now` in monotonic ns."""
-        hosts = [host for host in hosts if host.started_ms and host.state is not EndpointState.REMOVED]
-        self._newest_ms = max([self._newest_ms, *(host.started_ms for host in hosts)])
-        for host in hosts:
-            held = self._starts.get(host.id)
-            if held is None or held.figure_ms != host.started_ms:
-                age_ms = max(0, self._newest_ms - host.started_ms) if self._first_list else 0
-                self._starts.pop(host.id, None)
-                self._starts[host.id] = Start(host.started_ms, now - age_ms * MS)
-
-    def end_first_list(self) -> None:
-        """From now on each start that is told is one that the node sees."""
-        self._first_list = False
-
-    def translate(self, host: DiscoveredEndpoint) -> int:
-        """The start that was learnt, in monotonic ns; 0 for long ago."""
-        start = self._starts.get(host.id)
-        if start is None or not host.started_ms:
+        """Begin with the initial list."""
+        self._starts: dict[str, RecordedStart] = {}  # by endpoint id, the latest recorded last
+        self._is_initial_list = True
+        self._newest_reported_ms = 0
+
+    def record(self, endpoints: Iterable[DiscoveredEndpoint], now_ns: int) -> None:
+        """Record the starts in an update that arrived at `now_ns`, in monotonic ns."""
+        started = [
+            endpoint
+            for endpoint in endpoints
+            if endpoint.started_ms and endpoint.state is not EndpointState.REMOVED
+        ]
+        self._newest_reported_ms = max(
+            [self._newest_reported_ms, *(endpoint.started_ms for endpoint in started)]
+        )
+        for endpoint in started:
+            recorded = self._starts.get(endpoint.id)
+            if recorded is None or recorded.reported_ms != endpoint.started_ms:
+                self._starts.pop(endpoint.id, None)
+                self._starts[endpoint.id] = self._new_start(endpoint.started_ms, now_ns)
+
+    def _new_start(self, reported_ms: int, now_ns: int) -> RecordedStart:
+        age_ms = 0
+        if self._is_initial_list:
+            age_ms = max(0, self._newest_reported_ms - reported_ms)
+        return RecordedStart(reported_ms, now_ns - age_ms * NS_PER_MS)
+
+    def end_initial_list(self) -> None:
+        """Take each start that is recorded from now on as one that has just happened."""
+        self._is_initial_list = False
+
+    def started_at_ns(self, endpoint: DiscoveredEndpoint) -> int:
+        """Return the recorded start in monotonic ns; 0: long ago."""
+        recorded = self._starts.get(endpoint.id)
+        if recorded is None or not endpoint.started_ms:
             return 0
-        return start.at or 1  # 0 stands for long ago
-
-    def trim(self, listed: Collection[str]) -> None:
-        """Forget those that have left the list, the first learnt first, once they outnumber the `listed`."""
-        if len(self._starts) > 2 * len(listed) + REMEMBERED_MOST:
-            left = [identity for identity in self._starts if identity not in listed]
-            for identity in left[: len(left) - len(listed)]:
-                del self._starts[identity]
+        return recorded.started_at_ns or 1
+
+    def forget_removed(self, listed: Collection[str]) -> None:
+        """Forget servers that are not listed, the earliest recorded first, once they are too many.
+
+        They are too many if they outnumber the listed ones by more than `MAX_REMOVED_SERVERS`.
+        """
+        if len(self._starts) <= 2 * len(listed) + MAX_REMOVED_SERVERS:
+            return
+        removed = [name for name in self._starts if name not in listed]
+        for name in removed[: len(removed) - len(listed)]:
+            del self._starts[name]
