--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -131,7 +131,7 @@
             config.cached_endpoints.version,
             self._list_came,
             self._watch_failed,
-            discovery.ANSWER if pushed else discovery.QUEUED_ANSWER,
+            discovery.AGENT_RESPONSE_TIMEOUT_S if pushed else discovery.SHARED_RESPONSE_TIMEOUT_S,
         )
         self._synced = asyncio.Event()
 
@@ -153,7 +153,7 @@
         process's first moment, and what the configuration tells may be older. Where nothing has changed, it
         may tell nothing: a first line that is due and brings no list says that there is none."""
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._synced.wait(), discovery.FIRST)
+            await asyncio.wait_for(self._synced.wait(), discovery.FIRST_LINE_TIMEOUT_S)
 
     def reload(self, config: Config) -> None:
         """A new configuration: the watch moves to the address that it names. List and requests stay."""
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -215,7 +215,7 @@
     begun = thread_time()
     for begin in range(0, len(data), PIECE):
         watch.on_body(data[begin : begin + PIECE])
-    owner.finish()
+    owner.finish_parsing()
     took = thread_time() - begun
     owner.close()
     assert len(seen[0].endpoints) == size
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -99,9 +99,11 @@
 def test_a_watch_that_brings_no_whole_line_is_opened_anew(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Any byte counted as news: half an object with empty lines behind it would have been waited for for
     ever, and an agent that took the watch and said nothing for 3 s."""
-    for name in ("ANSWER", "FIRST", "SILENCE"):
+    for name in ("AGENT_RESPONSE_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S", "LINE_TIMEOUT_S"):
         monkeypatch.setattr(discovery, name, 0.3)
-    monkeypatch.setattr(discovery, "ANSWER" if how == "silent" else "FIRST", 0.1)
+    monkeypatch.setattr(
+        discovery, "AGENT_RESPONSE_TIMEOUT_S" if how == "silent" else "FIRST_LINE_TIMEOUT_S", 0.1
+    )
 
     async def test() -> None:
         async with Discovery() as source, Server("s-1") as server:
@@ -128,7 +130,7 @@
 
 
 def test_a_watch_that_brings_lines_in_time_stands(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE", 1.5)
+    monkeypatch.setattr(discovery, "LINE_TIMEOUT_S", 1.5)
 
     async def test() -> None:
         async with Discovery() as source, Rig(configuration(discovery=source.address)) as rig:
@@ -259,10 +261,10 @@
     counts_as_told, after_sighup, grace = 6.0, 4.0, 0.5
     pause = WATCH_PAUSE_PART * grace
     assert pause <= WATCH_PAUSE * 2**WATCH_DOUBLINGS
-    assert min(discovery.SILENCE, discovery.FIRST) > 2.0  # an empty line comes as often
-    again = WATCH_PAUSE + discovery.FIRST + 2 * WATCH_PAUSE
-    assert discovery.SILENCE + again < counts_as_told
-    assert discovery.FIRST + pause + discovery.ANSWER < after_sighup
+    assert min(discovery.LINE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) > 2.0  # an empty line comes as often
+    again = WATCH_PAUSE + discovery.FIRST_LINE_TIMEOUT_S + 2 * WATCH_PAUSE
+    assert discovery.LINE_TIMEOUT_S + again < counts_as_told
+    assert discovery.FIRST_LINE_TIMEOUT_S + pause + discovery.AGENT_RESPONSE_TIMEOUT_S < after_sighup
     assert pause < grace  # an agent that comes back tells at once what it has
 
 
@@ -271,7 +273,7 @@
 ) -> None:
     """The time in which an agent on the own machine answers was held against a discovery that all nodes
     share: calls in its queue were given up after half a second, asked anew, and the lists came too late."""
-    monkeypatch.setattr(discovery, "ANSWER", 0.05)
+    monkeypatch.setattr(discovery, "AGENT_RESPONSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with Discovery() as source, Rig(configuration(discovery=source.address)) as rig:
@@ -329,8 +331,8 @@
 
 def test_the_times_that_the_module_counts_with_are_those_of_the_watch() -> None:
     """It bounds its pauses by what a call and a silent watch take at most."""
-    assert max(discovery.QUEUED_ANSWER, discovery.FIRST) * 1e9 <= balance.CALL_TIME
-    assert discovery.SILENCE * 1e9 <= balance.SILENT_TIME
+    assert max(discovery.SHARED_RESPONSE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) * 1e9 <= balance.CALL_TIME
+    assert discovery.LINE_TIMEOUT_S * 1e9 <= balance.SILENT_TIME
     assert balance.SILENT_TIME + balance.ASK_LEAST_PAUSE + balance.CALL_TIME <= balance.TOLD_WITHIN < 6e9
 
 
@@ -362,7 +364,7 @@
 @pytest.mark.parametrize("how", ["503", "end", "garbage", "refused", "silence"])
 def test_a_watch_that_ends_is_told_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if how == "silence":
-        monkeypatch.setattr(discovery, "FIRST", 0.05)
+        monkeypatch.setattr(discovery, "FIRST_LINE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with Discovery() as source:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -139,7 +139,7 @@
 
     run(test())
     assert sum(count for _, count in read) == MANY
-    assert max(count for _, count in read) <= discovery.SLICE
+    assert max(count for _, count in read) <= discovery.SLICE_ENTRY_COUNT
     assert len({turn for turn, _ in read}) == len(read)
 
 
@@ -420,7 +420,7 @@
             await until(lambda: old.targets)
             watching = rig.node._discovery
             assert watching._watch is not None
-            watching.received(watching._watch, text(9, entries(range(MANY))))
+            watching.on_object(watching._watch, text(9, entries(range(MANY))))
             assert not rig.node._ready  # most of it is unread
             rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
             await until(lambda: new.targets)
@@ -515,10 +515,10 @@
 @given(st.lists(OBJECTS, max_size=4), st.integers(1, 40), st.sampled_from([None, 1]))
 def test_objects_are_found_however_they_are_cut(found: list[Any], size: int, indent: int | None) -> None:
     class Owner:
-        answer_within = 60.0
+        response_timeout_s = 60.0
         seen: list[Any]
 
-        def received(self, _: discovery.WatchConnection, data: bytes) -> None:
+        def on_object(self, _: discovery.WatchConnection, data: bytes) -> None:
             self.seen.append(json.loads(data))
 
         def is_current(self, _: discovery.WatchConnection) -> bool:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -49,7 +49,7 @@
 # The program, but an agent that takes its time is waited for.
 PATIENT = (
     "import sys, moleport.__main__ as program, moleport.node.discovery_watch as discovery;"
-    "discovery.ANSWER = discovery.FIRST = 60.0; sys.exit(program.main())"
+    "discovery.AGENT_RESPONSE_TIMEOUT_S = discovery.FIRST_LINE_TIMEOUT_S = 60.0; sys.exit(program.main())"
 )
 
 
