--- /dev/null
+++ b/moleport/node/client_connection.py
@@ -0,0 +1,368 @@
+"""One client's connection: reads its requests, has them served in order, and writes the responses.
+
+A client's departure is noticed in four places:
+
+- `connection_lost`: the event loop reports that the connection is closed or reset.
+- `eof_received`: the event loop reports that the client has shut down its sending side.
+- `has_disconnected`: the dispatcher asks the kernel before a request is written to a server, because an end
+  of stream behind unread data, or one that a late event loop has not read yet, is known to the kernel only.
+- `_check_while_paused`: while reading is paused, the kernel is asked every `PAUSED_CHECK_SECONDS`.
+
+The dispatcher learns of it by `on_client_disconnected` (the client gets no response) or by
+`on_client_half_closed` (the client may still read one).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import select
+from http import HTTPStatus
+from time import monotonic_ns
+from typing import cast
+
+from moleport.config.node_config import Config
+from moleport.node.connection_table import ConnectionTable
+from moleport.node.dispatcher import ClientRequest, Dispatcher, hash_key
+from moleport.node.hold_detector import HOLD_LEAST
+from moleport.node.kernel_socket import is_readable, is_reset, last_data_age_ns
+from moleport.node.parsed_request import READINESS_PATH, ParsedRequest
+from moleport.node.request_parser import RequestParser
+from moleport.telemetry import Event
+
+NS_PER_S = 1e9
+PAUSED_CHECK_SECONDS = 0.05
+MAX_WRITE_SECONDS = 10.0  # for the client to take a response to a request without a deadline
+MAX_LINGERING_BYTES = 128 << 10  # read and dropped after the last response
+
+STATUS_LINES = {status.value: b"%d %s" % (status.value, status.phrase.encode()) for status in HTTPStatus}
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
+
+class ClientContext:
+    """What all client connections of a node share."""
+
+    __slots__ = ("config", "dispatcher", "is_draining", "is_stopping", "table")
+
+    def __init__(self, dispatcher: Dispatcher, config: Config, table: ConnectionTable) -> None:
+        """Create the context of a node that is not shutting down."""
+        self.dispatcher = dispatcher
+        self.config = config
+        self.table = table
+        self.is_stopping = False  # the readiness endpoint answers 503
+        self.is_draining = False  # each response closes its connection
+
+
+class ClientConnection(asyncio.Protocol):
+    """One client's connection; its requests are served one after the other."""
+
+    def __init__(self, context: ClientContext, earliest_arrival_ns: int) -> None:
+        """Create the protocol of an accepted connection.
+
+        No byte of the client arrived before `earliest_arrival_ns` (monotonic).
+        """
+        self._context = context
+        self._table = context.table
+        # Lower bound for the arrival of what is unread in the kernel, monotonic ns; 0: nothing old is unread.
+        self._unread_since_ns = earliest_arrival_ns
+        self._peer_shutdown_poll = select.poll()
+        self._loop = asyncio.get_running_loop()
+        self._transport: asyncio.Transport | None = None
+        self._parser = RequestParser(context.config)
+        self._request_number = 0  # the dispatcher's, of the request that it serves; 0: none
+        self._busy = False  # a request is unanswered, or its response is not written out
+        self._keep_alive = True
+        self._ending = False  # nothing more is parsed
+        self._half_closed = False  # the client sends no more
+        self._dropped_bytes = 0
+        self._deadline_ns = 0  # monotonic, of the request that is served; 0: none
+        self._slow_reader: asyncio.TimerHandle | None = None  # ends a client that does not take its response
+        self._advancing = False  # _advance is running
+        self._paused = False
+        self._paused_check: asyncio.TimerHandle | None = None
+
+    # Callbacks of the event loop.
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start to serve the connection."""
+        self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        transport.set_write_buffer_limits(high=0)  # resume_writing reports that a response is written out
+        now = monotonic_ns()
+        if now - self._unread_since_ns < HOLD_LEAST or not self._is_readable():
+            self._unread_since_ns = 0
+        else:
+            # The accept queue may have waited for long, and this client not.
+            age = last_data_age_ns(transport.get_extra_info("socket"))
+            if age is not None:
+                self._unread_since_ns = max(self._unread_since_ns, now - age)
+        self._peer_shutdown_poll.register(self._descriptor(), select.POLLRDHUP)
+        self._table.on_connected(self)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Handle the client's departure: its connection is closed or reset."""
+        self._ending = True
+        self._parser.close()
+        if self._slow_reader is not None:
+            self._slow_reader.cancel()
+        number, self._request_number = self._request_number, 0
+        if number:
+            self._context.dispatcher.on_client_disconnected(number)
+        self._table.on_disconnected(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what the client sent and serve its next request."""
+        if self._ending:
+            self._drop(data)
+            return
+        arrived = self._context.dispatcher.hold_detector.earliest_arrival()
+        self._parser.feed(data, min(arrived, self._unread_since_ns) if self._unread_since_ns else arrived)
+        self._advance()
+        if not self._paused:
+            self._unread_since_ns = 0
+
+    def _drop(self, data: bytes) -> None:
+        """Ignore what a client sends after its last response, up to a limit."""
+        self._dropped_bytes += len(data)
+        if self._dropped_bytes > MAX_LINGERING_BYTES:
+            self.abort()
+
+    def eof_received(self) -> bool:
+        """Handle the end of the client's sending; return whether the connection stays open for a response.
+
+        A client may shut down its sending side and wait for the response to a complete request. As most
+        clients that do so have closed, nothing that is not forwarded yet is forwarded any more.
+        """
+        self._half_closed = True
+        self._report_half_close()
+        is_waiting = self._busy or bool(self._parser.ready) or self._parser.has_unparsed()
+        return is_waiting and not self._ending
+
+    def resume_writing(self) -> None:
+        """Handle that a response is written out which the client took more slowly than it was written."""
+        if self._slow_reader is not None:
+            self._slow_reader.cancel()
+            self._slow_reader = None
+            self._on_response_written()
+
+    # Departures that the event loop has not reported.
+
+    def has_disconnected(self) -> bool:
+        """Ask the kernel whether the client sends no more or is gone (about 1 us)."""
+        transport = self._transport
+        if not self._half_closed and transport is not None and not transport.is_closing():
+            self._half_closed = bool(self._peer_shutdown_poll.poll(0))
+            return self._half_closed
+        return True
+
+    def _check_while_paused(self) -> None:
+        """Ask the kernel for the client's departure, and again until reading is resumed."""
+        self._paused_check = None
+        if self._transport is None or not self._paused or self._transport.is_closing():
+            return
+        if is_reset(self._descriptor()):
+            self.abort()
+            return
+        if self.has_disconnected():
+            self._report_half_close()
+        self._paused_check = self._loop.call_later(PAUSED_CHECK_SECONDS, self._check_while_paused)
+
+    def _report_half_close(self) -> None:
+        if self._request_number:
+            self._context.dispatcher.on_client_half_closed(self._request_number)
+
+    def _descriptor(self) -> int:
+        assert self._transport is not None
+        descriptor: int = self._transport.get_extra_info("socket").fileno()
+        return descriptor
+
+    def _is_readable(self) -> bool:
+        return is_readable(self._descriptor())
+
+    # Requests in order.
+
+    def _advance(self) -> None:
+        """Serve the requests that are ready, pause or resume reading, and report the connection's state."""
+        transport = self._transport
+        if transport is None or self._advancing:
+            return  # a response that was written at once is handled by the loop below, not by recursion
+        self._advancing = True
+        self._serve_ready(transport)
+        self._advancing = False
+        if self._ending or transport.is_closing():
+            return
+        parser = self._parser
+        # While requests are waiting nothing more is read: what a client sends ahead stays in the kernel.
+        if self._paused != bool(parser.ready or parser.has_unparsed()):
+            self._toggle_reading(transport)
+        if self._busy:
+            return
+        if self._half_closed:
+            self.close()
+        elif parser.has_partial_request():
+            self._table.mark_reading(self)
+            if parser.wants_continue():
+                transport.write(CONTINUE_RESPONSE)
+        else:
+            self._table.mark_idle(self)
+
+    def _serve_ready(self, transport: asyncio.Transport) -> None:
+        """Serve the parsed requests until one waits for its response or none is left."""
+        parser = self._parser
+        while not self._busy and not self._ending and not transport.is_closing():
+            parser.parse_buffered()
+            if parser.ready:
+                self._busy = True
+                self._table.mark_active(self)
+                self._serve(parser.ready.popleft())
+            elif parser.error_status:
+                # Nothing that follows the error can be parsed; the requests before it are answered by now.
+                self._busy = True
+                self._keep_alive = False
+                self.send_response(parser.error_status, [], b"")
+            else:
+                break
+
+    def _toggle_reading(self, transport: asyncio.Transport) -> None:
+        """Pause or resume reading."""
+        self._paused = not self._paused
+        if not self._paused:
+            if not self._is_readable():
+                self._unread_since_ns = 0
+            transport.resume_reading()
+            return
+        if not self._unread_since_ns or not self._is_readable():
+            self._unread_since_ns = monotonic_ns()
+        transport.pause_reading()
+        if self._paused_check is None:
+            self._check_while_paused()
+
+    def _serve(self, parsed: ParsedRequest) -> None:
+        """Answer a readiness check, or hand the request to the dispatcher."""
+        self._keep_alive = parsed.keep_alive
+        self._deadline_ns = 0
+        dispatcher = self._context.dispatcher
+        if parsed.path == READINESS_PATH:
+            is_ready = dispatcher.has_endpoints() and not self._context.is_stopping
+            self.send_response(200 if is_ready else 503, [], b"")
+            return
+        if self._half_closed:
+            self.send_response(503, dispatcher.retry_after_headers(), b"")
+            return
+        request = self._client_request(parsed)
+        self._deadline_ns = request.deadline_ns
+        number = dispatcher.accept_request(request)
+        if self._busy:
+            self._request_number = number
+
+    def _client_request(self, parsed: ParsedRequest) -> ClientRequest:
+        """Return the request in the dispatcher's terms."""
+        fields, tenants = parsed.fields, self._context.config.tenant_indices
+        key = fields.get(b"x-key")
+        return ClientRequest(
+            client=self,
+            request_id=fields[b"x-request-id"],
+            head=parsed.forwarded_head(),
+            body=bytes(parsed.body),
+            class_index=parsed.class_index,
+            tenant_index=tenants.get(fields.get(b"x-tenant", b""), len(tenants)),
+            key=hash_key(key) if key else 0,
+            is_client_retry=fields.get(b"x-retry") == b"1",
+            deadline_ns=parsed.arrived_at_ns + parsed.timeout_ns,
+        )
+
+    # Responses.
+
+    def send_response(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        """Write the response to the request that is served."""
+        transport = self._transport
+        assert transport is not None
+        self._request_number = 0
+        if transport.is_closing():
+            return
+        # A client whose request is at fault would send it again as fast as it is answered.
+        rejected = 400 <= status < 500
+        keep = (
+            self._keep_alive and not rejected and not self._context.is_draining and not self._table.is_full()
+        )
+        lines = [b"HTTP/1.1 ", STATUS_LINES[status], b"\r\n"]
+        for name, value in headers:
+            lines += (name, b": ", value, b"\r\n")
+        if status == 405:
+            lines.append(b"Allow: GET, POST\r\n")
+        lines.append(b"Content-Length: %d\r\n" % len(body))
+        if not keep:
+            lines.append(b"Connection: close\r\n")
+        lines += (b"\r\n", body)
+        transport.write(b"".join(lines))
+        self._ending = not keep
+        if transport.get_write_buffer_size():
+            self._limit_write_time(transport)
+        else:
+            self._on_response_written()
+
+    def _limit_write_time(self, transport: asyncio.Transport) -> None:
+        """Abort the connection at the request's deadline: its client has given up by then."""
+        if self._deadline_ns:
+            remaining_s = (self._deadline_ns - monotonic_ns()) / NS_PER_S
+        else:
+            remaining_s = MAX_WRITE_SECONDS
+        self._slow_reader = self._loop.call_later(max(0.0, remaining_s), transport.abort)
+
+    def _on_response_written(self) -> None:
+        """Go on with the next request, or close the connection."""
+        transport = self._transport
+        assert transport is not None
+        self._busy = False
+        if not self._ending:
+            self._advance()
+        elif self._half_closed:
+            transport.close()
+        else:
+            self._start_lingering_close(transport)
+
+    def _start_lingering_close(self, transport: asyncio.Transport) -> None:
+        """Shut down the sending side and wait for the client to close.
+
+        To close with data unread would reset the connection, and the client might lose its response.
+        """
+        if self._paused:
+            transport.resume_reading()
+        transport.write_eof()
+        self._table.start_lingering_close(self)
+
+    # Ends that the table or the node asks for.
+
+    def time_out(self) -> None:
+        """End a connection that has exceeded a time limit; one with a partial request is answered 408."""
+        telemetry = self._context.dispatcher.telemetry
+        if self._parser.has_partial_request():
+            telemetry.count(Event.CLIENT_TIMED_OUT)
+            self._parser.error_status = HTTPStatus.REQUEST_TIMEOUT
+            self._advance()
+        elif self.close_if_quiet():
+            telemetry.count(Event.CLIENT_CLOSED_IDLE)
+
+    def close(self) -> None:
+        """Close the connection once everything is written."""
+        if self._transport is not None:
+            self._transport.close()
+
+    def abort(self) -> None:
+        """Close the connection at once and drop what is not written yet."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def close_if_quiet(self) -> bool:
+        """Close the connection unless it has unread data, which may be a complete request.
+
+        Return whether it is closed.
+        """
+        if self._transport is not None and not self._transport.is_closing():
+            if self._is_readable():
+                return False
+            self._transport.close()
+        return True
+
+    def close_if_unused(self) -> None:
+        """Close the connection unless it has unread data or a request, complete or partial."""
+        if not self._busy and not self._parser.ready and not self._parser.has_partial_request():
+            self.close_if_quiet()
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -23,7 +23,7 @@
     until,
 )
 
-from moleport.node import listener as front
+from moleport.node import connection_table, listener
 from moleport.policy import interface as api
 
 
@@ -184,7 +184,7 @@
             client.writer.write(request("order"))
             await until(lambda: server.seen)
             client.writer.write_eof()
-            (connection,) = rig.front._connections
+            (connection,) = rig.front.table.connections
             await until(lambda: connection._half_closed)
             release.set()
             assert status(await client.read()) == 200
@@ -193,7 +193,7 @@
             half.writer.write(request("order")[:-9])
             half.writer.write_eof()
             assert await half.ended() == b""
-            await until(lambda: not rig.front._connections)
+            await until(lambda: not rig.front.table.connections)
             assert len(server.seen) == 1
 
     run(test())
@@ -214,17 +214,17 @@
             client = await rig.client()
             client.writer.write(b"".join(request("order") for _ in range(1 + behind)))
             await until(lambda: server.seen)
-            (connection,) = rig.front._connections
+            (connection,) = rig.front.table.connections
             await until(lambda: connection._paused)
             client.leave(how)
-            await until(lambda: connection._half_closed or not rig.front._connections)
+            await until(lambda: connection._half_closed or not rig.front.table.connections)
             release.set()
             if how == "sending":
                 assert status(await client.read()) == 200
                 refused = await client.read()
                 assert (status(refused), refused.headers["retry-after"]) == (503, "1.500")
                 client.writer.close()
-            await until(lambda: not rig.front._connections and not rig.node._open)
+            await until(lambda: not rig.front.table.connections and not rig.node._open)
             assert len(server.seen) == 1
 
     run(test())
@@ -255,7 +255,7 @@
             release.set()
             if how == "sending":
                 assert status(await client.read()) == 503  # it never ran
-            await until(lambda: not rig.front._connections and not rig.node._open)
+            await until(lambda: not rig.front.table.connections and not rig.node._open)
             assert len(one.seen) + len(two.seen) == 1
             assert len([one for one in rig.spy.events if isinstance(one, api.AttemptOutcome)]) == 1
 
@@ -270,9 +270,9 @@
             client = await rig.client()
             client.writer.write(b"".join(request("order") for _ in range(3000)))
             await until(lambda: server.seen)
-            (connection,) = rig.front._connections
+            (connection,) = rig.front.table.connections
             await until(lambda: connection._paused)
-            assert len(connection._reader.ready) < 50
+            assert len(connection._parser.ready) < 50
             assert len(rig.node._open) == 1
 
     run(test())
@@ -282,10 +282,11 @@
 def test_a_new_connection_has_its_time_from_connecting_and_a_used_one_may_rest(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert front.NEW_MOST + front.SWEEP < 3.0 and front.IDLE_MOST >= 2.0
-    monkeypatch.setattr(front, "NEW_MOST", 0.3)
-    monkeypatch.setattr(front, "SLOW_REQUEST", 0.3)
-    monkeypatch.setattr(front, "SWEEP", 0.02)
+    assert connection_table.MAX_NEW_SECONDS + connection_table.SWEEP_PERIOD_SECONDS < 3.0
+    assert connection_table.MAX_IDLE_SECONDS >= 2.0
+    monkeypatch.setattr(connection_table, "MAX_NEW_SECONDS", 0.3)
+    monkeypatch.setattr(connection_table, "MAX_READING_SECONDS", 0.3)
+    monkeypatch.setattr(connection_table, "SWEEP_PERIOD_SECONDS", 0.02)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -308,8 +309,8 @@
 
 
 def test_a_used_connection_is_closed_when_it_has_been_idle_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "IDLE_MOST", 0.1)
-    monkeypatch.setattr(front, "SWEEP", 0.02)
+    monkeypatch.setattr(connection_table, "MAX_IDLE_SECONDS", 0.1)
+    monkeypatch.setattr(connection_table, "SWEEP_PERIOD_SECONDS", 0.02)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -323,7 +324,7 @@
 def test_those_that_never_asked_make_room_first_then_idle_ones_and_rejected_ones_at_once() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front._most = 3
+            rig.front.table.max_connections = 3
             used = await rig.client()
             assert status(await used.ask(request())) == 200
             rejected = await rig.client()
@@ -335,7 +336,7 @@
             new = await rig.client()
             assert status(await new.ask(request())) == 200
             assert status(await used.ask(request())) == 200
-            assert len(server.seen) == 3 and rig.front._open <= 3
+            assert len(server.seen) == 3 and rig.front.table.open_count <= 3
 
     run(test())
 
@@ -344,15 +345,15 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """With a bound on all clients' connections they left a tenth of it for requests, on an idle tier."""
-    monkeypatch.setattr(front, "IDLE_LEAST", 0.0)
+    monkeypatch.setattr(connection_table, "MIN_IDLE_SECONDS", 0.0)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front._most = 40
+            rig.front.table.max_connections = 40
             clients = [await rig.client() for _ in range(20)]
             for client in clients:
                 assert status(await client.ask(request())) == 200
-            assert len(rig.front._idle) <= front.IDLE_PART * 40 + 1
+            assert len(rig.front.table._idle) <= connection_table.MAX_IDLE_RATIO * 40 + 1
             assert await clients[0].ended() == b""
             assert status(await clients[-1].ask(request())) == 200
 
@@ -365,7 +366,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front._most = 20
+            rig.front.table.max_connections = 20
             used = [await rig.client() for _ in range(10)]
             for client in used:
                 assert status(await client.ask(request())) == 200
@@ -375,7 +376,7 @@
             assert status(await late.ask(request())) == 200
             # Half of the table and more at a time, each with 0.1 s to bring something; a tenth took 30 s.
             assert asyncio.get_running_loop().time() - begun < 12
-            assert rig.front._open <= 20 + front.ACCEPTS
+            assert rig.front.table.open_count <= 20 + listener.ACCEPT_BATCH_CONNECTIONS
             for client in crowd:
                 client.writer.close()
 
@@ -392,7 +393,7 @@
                 for _ in range(1000):
                     client.writer.write(b"x" * 60_000)
                     await client.writer.drain()
-            await until(lambda: not rig.front._connections)
+            await until(lambda: not rig.front.table.connections)
 
     run(test())
 
@@ -472,14 +473,14 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
                 client.setblocking(False)
                 await loop.sock_connect(client, rig.address)
-                await until(lambda: rig.front._connections)
-                (connection,) = rig.front._connections
+                await until(lambda: rig.front.table.connections)
+                (connection,) = rig.front.table.connections
                 assert connection._transport is not None
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request(X_Deadline="300m"))
                 await until(lambda: connection._slow_reader is not None)
-                await until(lambda: not rig.front._connections)
+                await until(lambda: not rig.front.table.connections)
 
     run(test())
 
@@ -490,7 +491,7 @@
             up = request(target="/up", method="GET")
             assert status(await (await empty.client()).ask(up)) == 503
             assert status(await (await rig.client()).ask(up)) == 200
-            rig.front.stopping = True
+            rig.front.context.is_stopping = True
             assert status(await (await rig.client()).ask(up)) == 503
 
     run(test())
@@ -581,20 +582,26 @@
             client = await rig.client()
             if used:
                 assert status(await client.ask(request())) == 200
-            await until(lambda: rig.front._connections)
-            for name in ("RECLAIM_AFTER", "NEW_MOST", "IDLE_MOST", "IDLE_PART", "IDLE_LEAST"):
-                monkeypatch.setattr(front, name, 0.0)
+            await until(lambda: rig.front.table.connections)
+            for name in (
+                "MIN_SILENT_SECONDS",
+                "MAX_NEW_SECONDS",
+                "MAX_IDLE_SECONDS",
+                "MAX_IDLE_RATIO",
+                "MIN_IDLE_SECONDS",
+            ):
+                monkeypatch.setattr(connection_table, name, 0.0)
             own = client.writer.get_extra_info("socket")
             assert os.write(own.fileno(), request())  # from here on the loop has no turn to read it
             if how == "evict":
-                rig.front._reclaim_one()
+                rig.front.table.reclaim_slot(connecting_count=0)
             elif how == "thin out":
-                rig.front._reclaim_idle()
+                rig.front.table._reclaim_idle()
             elif how == "sweep":
-                rig.front._sweep()
+                rig.front.table._sweep()
             else:
-                rig.front.closing = True
-                rig.front._close_unused()
+                rig.front.context.is_draining = True
+                rig.front.table.close_unused()
             assert status(await client.read()) == 200
             assert len(server.seen) == 1 + used
 
@@ -611,13 +618,13 @@
 
     async def test() -> None:
         async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
-            rig.front._most = 2
+            rig.front.table.max_connections = 2
             clients = [await rig.client() for _ in range(5)]
             for client in clients:
                 client.writer.write(request("order"))
             await until(lambda: len(server.seen) == 2)
             stopping = asyncio.create_task(rig.front.shut_down(0.0, 15.0))
-            await until(lambda: rig.front.closing)
+            await until(lambda: rig.front.context.is_draining)
             release.set()
             assert [status(await client.read()) for client in clients] == [200] * 5
             for client in clients:
@@ -636,7 +643,7 @@
             waits.writer.write(request("order"))
             data = request(body=b"text")
             late.writer.write(data[:-1])
-            await until(lambda: server.seen and rig.front._new)
+            await until(lambda: server.seen and rig.front.table._new)
             rig.node.fail_all_requests()
             assert status(await waits.read()) == 504
             got = await late.ask(data[-1:])
@@ -655,8 +662,8 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
                 client.setblocking(False)
                 await loop.sock_connect(client, rig.address)
-                await until(lambda: rig.front._connections)
-                (connection,) = rig.front._connections
+                await until(lambda: rig.front.table.connections)
+                (connection,) = rig.front.table.connections
                 assert connection._transport is not None
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
