--- /dev/null
+++ b/moleport/node/attempt_supervisor.py
@@ -0,0 +1,184 @@
+"""Starts attempts, grants or denies their writes, and reports their outcomes to the policy."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from time import monotonic_ns
+
+from moleport.config.node_config import Config
+from moleport.node.attempt import Attempt, ConnectionPools, ServerResponse, WritePermission
+from moleport.node.hold_detector import HoldDetector
+from moleport.node.invariants import Write, broken_by
+from moleport.node.load_report import LoadReportParser
+from moleport.node.request import RESPONSE_TRANSIT_NS, ActiveRequest, RequestRegistry
+from moleport.policy import interface as api
+from moleport.policy.interface import NOT_EXECUTED, AttemptResult, EndpointId
+from moleport.telemetry import Event, Telemetry
+
+
+class AttemptSupervisor:
+    """The owner of all attempts."""
+
+    def __init__(
+        self,
+        config: Config,
+        pools: ConnectionPools,
+        requests: RequestRegistry,
+        hold_detector: HoldDetector,
+        telemetry: Telemetry,
+        dispatch_event: Callable[[api.Event], None],
+    ) -> None:
+        """Report the outcomes to the policy through `dispatch_event`."""
+        self._drain_grace_ns = config.drain_grace_ns
+        self._max_attempts = config.policy_settings.max_attempts
+        self._classes = config.policy_settings.classes
+        self._pools = pools
+        self._requests = requests
+        self._active = requests.active
+        self._hold_detector = hold_detector
+        self._telemetry = telemetry
+        self._dispatch_event = dispatch_event
+        self._parse_load_report = LoadReportParser(config.load_report_fields).parse
+
+    def start_attempt(self, action: api.Forward) -> None:
+        """Start the next attempt of a request, or report at once that it was not sent."""
+        request = self._active.get(action.request_id)
+        if request is None:
+            self._report_not_sent(action.request_id, True, action.endpoint_id, 0)
+            return
+        index = request.attempt_count
+        request.attempt_count += 1
+        pool = self._pools.get(action.endpoint_id)
+        if pool is None or request.is_answered or index >= self._max_attempts:
+            event = Event.ATTEMPT_STOPPED_SERVER_REMOVED if pool is None else Event.ATTEMPT_STOPPED_LIMIT
+            self._telemetry.count(event, request=request.number, attempt=index)
+            self._report_not_sent(request.number, request.is_answered, action.endpoint_id, index)
+            return
+        now = monotonic_ns()
+        expires_at_ns = request.client_request.deadline_ns - RESPONSE_TRANSIT_NS
+        if action.timeout_ns:
+            expires_at_ns = min(expires_at_ns, now + action.timeout_ns)
+        attempt = Attempt(
+            self,
+            request.number,
+            index,
+            action.endpoint_id,
+            pool,
+            request.client_request.head,
+            request.client_request.body,
+            started_at_ns=now - self._hold_detector.stalled_ns(),
+            expires_at_ns=expires_at_ns,
+            write_deadline_ns=action.write_deadline_ns,
+        )
+        request.attempts[index] = attempt
+        attempt.start()
+
+    def _report_not_sent(
+        self, request_number: int, is_answered: bool, endpoint_id: EndpointId, index: int
+    ) -> None:
+        self._dispatch_event(
+            api.AttemptOutcome(
+                request_number, is_answered, AttemptResult.NOT_SENT, 0, endpoint_id, index, load_report=()
+            )
+        )
+
+    def check_write_permission(self, attempt: Attempt) -> WritePermission:
+        """Decide whether an attempt may dial or write now.
+
+        The only check ahead of all that is sent to servers. Asked before each dial and each write, as the
+        client or the server may have left since the policy decided.
+        """
+        request = self._active.get(attempt.request_number)
+        if request is None or request.is_answered:
+            return WritePermission.DENIED
+        if attempt.pool.retired:
+            self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_REMOVED)
+            return WritePermission.DENIED
+        if self._hold_detector.is_settling():
+            # An unread endpoint update may be older than the drain grace.
+            self.record_attempt_event(attempt, Event.ATTEMPT_DELAYED_AFTER_STALL)
+            return WritePermission.WAIT
+        if request.client_left_at_ns or request.client_request.client.has_disconnected():
+            self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_CLIENT_DISCONNECTED)
+            self._requests.on_client_half_closed(request.number)
+            return WritePermission.DENIED
+        return WritePermission.GRANTED
+
+    def record_attempt_event(self, attempt: Attempt, event: Event) -> None:
+        """Count an event of one attempt."""
+        self._telemetry.count(
+            event, request=attempt.request_number, attempt=attempt.index, server=attempt.endpoint_id
+        )
+
+    def on_request_written(self, attempt: Attempt, announced_ns: int) -> None:
+        """Check the invariants as the last byte of an attempt is written.
+
+        `announced_ns` is the remaining time that the server was given in X-Deadline.
+        """
+        request = self._active.get(attempt.request_number)
+        assert request is not None  # it has this attempt in flight
+        self.record_attempt_event(attempt, Event.ATTEMPT_WRITTEN)
+        if attempt.index:
+            self._telemetry.count(Event.ATTEMPT_RETRIED)
+        now = monotonic_ns()
+        request_class = self._classes[request.client_request.class_index]
+        pool = attempt.pool
+        write = Write(
+            repeat=request_class.idempotency,
+            window=request_class.deduplication_window_ns,
+            attempt=attempt.index,
+            attempts_most=self._max_attempts,
+            others_out=len(request.attempts) - 1,
+            answered=request.is_answered,
+            ran_since=now - request.first_execution_ns if request.first_execution_ns else None,
+            client_left_since=now - request.client_left_at_ns if request.client_left_at_ns else None,
+            server_left_since=now - pool.retired_at if pool.retired else None,
+            drain_grace=self._drain_grace_ns,
+            told=announced_ns,
+            left=request.client_request.deadline_ns - now,
+        )
+        for invariant in broken_by(write):
+            self._telemetry.violate(
+                invariant,
+                request=request.number,
+                id=request.client_request.request_id,
+                attempt=attempt.index,
+            )
+        attempt.written_at_ns = now
+
+    def on_attempt_ended(
+        self, attempt: Attempt, result: AttemptResult, response: ServerResponse | None
+    ) -> None:
+        """Send a final response to the client, if there is one, and report the outcome to the policy."""
+        request = self._active[attempt.request_number]
+        elapsed_ns = monotonic_ns() - self._hold_detector.stalled_ns() - attempt.started_at_ns
+        if result not in NOT_EXECUTED and not request.first_execution_ns:
+            request.first_execution_ns = attempt.written_at_ns or monotonic_ns()
+        del request.attempts[attempt.index]
+        if request.is_answered:
+            self._requests.remove_if_done(request)
+        elif response is not None:
+            self._forward_response(request, result, response)
+        load_report: tuple[float, ...] = ()
+        if response is not None and response.load_report:
+            load_report = self._parse_load_report(response.load_report)
+        self._dispatch_event(
+            api.AttemptOutcome(
+                request.number,
+                request.is_answered,
+                result,
+                elapsed_ns,
+                attempt.endpoint_id,
+                attempt.index,
+                load_report,
+            )
+        )
+
+    def _forward_response(
+        self, request: ActiveRequest, result: AttemptResult, response: ServerResponse
+    ) -> None:
+        if result is AttemptResult.OK:
+            self._requests.send_final_response(request.number, 200, response.headers, response.body)
+        elif result is AttemptResult.CLIENT_ERROR:
+            # The request itself is at fault: a retry at another server would get the same response.
+            self._requests.send_final_response(request.number, response.status, [])
--- /dev/null
+++ b/moleport/node/endpoint_list.py
@@ -0,0 +1,208 @@
+"""Keeps the endpoint list, the connection pools and the policy in step with discovery.
+
+An update arrives in `EndpointList.on_update`, is compared with the known list, and reaches the policy as
+`EndpointUpdate` events. Updates of many endpoints are applied in slices, between which the event loop serves
+requests.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Collection
+from contextlib import suppress
+from itertools import islice
+from time import monotonic_ns
+
+from moleport.config.endpoints import DiscoveredEndpoint, DiscoveryUpdate
+from moleport.config.node_config import Config
+from moleport.node import discovery_watch
+from moleport.node.attempt import ConnectionPools
+from moleport.node.discovery_watch import DiscoveryClient
+from moleport.node.name_hashing import hash_name
+from moleport.node.reconnect_backoff import ReconnectBackoff
+from moleport.node.server_start_times import ServerStartTimes
+from moleport.policy import interface as api
+from moleport.policy.interface import DiscoveryMode, EndpointState, EndpointUpdateKind
+from moleport.telemetry import Event, Telemetry
+
+SLICE_ENDPOINT_COUNT = 256  # endpoints that the policy is notified of in one loop iteration
+
+
+class EndpointList:
+    """The endpoints as the policy knows them, and the watch that updates them."""
+
+    def __init__(
+        self,
+        config: Config,
+        pools: ConnectionPools,
+        telemetry: Telemetry,
+        dispatch_event: Callable[[api.Event], None],
+    ) -> None:
+        """Notify the policy through `dispatch_event`."""
+        self._zone_indices = config.zone_indices
+        self._hardware_type_indices = config.hardware_type_indices
+        self._cached_endpoints = config.cached_endpoints.endpoints
+        self._is_pushed = config.policy_settings.discovery_mode is DiscoveryMode.PUSH
+        self._pools = pools
+        self._telemetry = telemetry
+        self._dispatch_event = dispatch_event
+        self._loop = asyncio.get_running_loop()
+        self._known: dict[str, DiscoveredEndpoint] = {}  # as the policy knows them, without removed ones
+        self._pending: dict[str, DiscoveredEndpoint] = {}  # of a long update, not known to the policy yet
+        self._next_slice: asyncio.Handle | None = None
+        self._start_times = ServerStartTimes()
+        self._is_synced = asyncio.Event()
+        self._backoff = ReconnectBackoff(config.seed, config.drain_grace_ns)
+        self.discovery = DiscoveryClient(
+            config.discovery_address,
+            config.cached_endpoints.version,
+            self.on_update,
+            self._on_watch_failed,
+            discovery_watch.AGENT_RESPONSE_TIMEOUT_S
+            if self._is_pushed
+            else discovery_watch.SHARED_RESPONSE_TIMEOUT_S,
+        )
+
+    def start(self) -> None:
+        """Apply the endpoints of the configuration, and watch discovery if it pushes updates."""
+        self._start_times.record(self._cached_endpoints, monotonic_ns())
+        self._merge(EndpointUpdateKind.CACHED, self._cached_endpoints)
+        if self._is_pushed:
+            self.discovery.watch()
+        else:
+            self._is_synced.set()
+
+    async def wait_until_synced(self) -> None:
+        """Wait until the first update is applied, the watch has failed, or no update came in time.
+
+        Endpoints in the configuration may be older than what discovery knows. Discovery may send no update
+        if nothing has changed, but then sends an empty first line within the timeout.
+        """
+        with suppress(TimeoutError):
+            await asyncio.wait_for(self._is_synced.wait(), discovery_watch.FIRST_LINE_TIMEOUT_S)
+
+    # The watch.
+
+    def on_update(self, update: DiscoveryUpdate) -> None:
+        """Apply an update from discovery."""
+        self._backoff.reset()
+        self._start_times.record(update.endpoints, monotonic_ns())
+        self._start_times.end_initial_list()
+        kind = EndpointUpdateKind.SNAPSHOT if update.is_snapshot else EndpointUpdateKind.DELTA
+        self._merge(kind, update.endpoints)
+        if not self._pending:
+            self._is_synced.set()
+
+    def _on_watch_failed(self) -> None:
+        self._is_synced.set()
+        self._telemetry.count(Event.WATCH_FAILED)
+        if self._is_pushed:
+            self._loop.call_later(self._backoff.next_delay_seconds(), self.discovery.watch)
+            return
+        if self._pending:
+            # After the failure the policy would take an update as a sign that the watch is open.
+            self._apply(EndpointUpdateKind.DELTA, list(self._pending.values()))
+            self._pending.clear()
+        self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.FAILED, ()))
+
+    # Updates.
+
+    def _merge(self, kind: EndpointUpdateKind, endpoints: tuple[DiscoveredEndpoint, ...]) -> None:
+        """Apply an update, which takes precedence over what is pending of earlier ones.
+
+        Of two entries with one id the later counts.
+        """
+        latest = {endpoint.id: endpoint for endpoint in endpoints}
+        absent: list[DiscoveredEndpoint] = []
+        if kind is not EndpointUpdateKind.DELTA:
+            self._pending.clear()
+            absent = self._removed_except(latest)
+        elif self._pending:
+            for name in latest:
+                self._pending.pop(name, None)
+        # The cached list is applied before there are requests.
+        if len(latest) <= SLICE_ENDPOINT_COUNT or kind is EndpointUpdateKind.CACHED:
+            self._apply(kind, list(latest.values()), absent)
+        else:
+            self._merge_in_slices(latest, absent)
+
+    def _removed_except(self, listed: Collection[str]) -> list[DiscoveredEndpoint]:
+        """Return the known endpoints that are not listed, marked as removed."""
+        return [
+            endpoint._replace(state=EndpointState.REMOVED)
+            for endpoint in self._known.values()
+            if endpoint.id not in listed
+        ]
+
+    def _merge_in_slices(
+        self, latest: dict[str, DiscoveredEndpoint], absent: list[DiscoveredEndpoint]
+    ) -> None:
+        """Apply the changes of a long update.
+
+        Endpoints that drain or are removed are applied at once, as their drain grace runs; the others
+        in slices.
+        """
+        changed = [endpoint for endpoint in latest.values() if self._known.get(endpoint.id) != endpoint]
+        # Known endpoints first: they are in use, and one that was restarted is in slow start.
+        changed.sort(key=lambda endpoint: endpoint.id not in self._known)
+        leaving = [endpoint for endpoint in changed if endpoint.state is not EndpointState.READY]
+        self._pending.update(
+            (endpoint.id, endpoint) for endpoint in changed if endpoint.state is EndpointState.READY
+        )
+        self._apply(EndpointUpdateKind.DELTA, absent + leaving)
+        if self._pending and self._next_slice is None:
+            self._next_slice = self._loop.call_soon(self._apply_next_slice)
+
+    def _apply_next_slice(self) -> None:
+        names = list(islice(self._pending, SLICE_ENDPOINT_COUNT))
+        if names:  # a later update may have replaced all that was pending
+            self._apply(EndpointUpdateKind.DELTA, [self._pending.pop(name) for name in names])
+        if self._pending:
+            self._next_slice = self._loop.call_soon(self._apply_next_slice)
+        else:
+            self._next_slice = None
+            self._is_synced.set()
+
+    def _apply(
+        self,
+        kind: EndpointUpdateKind,
+        discovered: list[DiscoveredEndpoint],
+        absent: list[DiscoveredEndpoint] | None = None,
+    ) -> None:
+        """Notify the policy of endpoints, and keep the known list and the pools in step.
+
+        `absent` are known endpoints that a snapshot leaves out. The policy finds them itself in the snapshot.
+        """
+        endpoints = tuple(self._to_policy_endpoint(endpoint) for endpoint in discovered)
+        retired_ids = [hash_name(endpoint.id) for endpoint in absent or ()]
+        for endpoint in absent or ():
+            del self._known[endpoint.id]
+        for entry, endpoint_of_policy in zip(discovered, endpoints, strict=True):
+            if entry.state is EndpointState.REMOVED:
+                self._known.pop(entry.id, None)
+            else:
+                self._known[entry.id] = entry
+            if entry.state is EndpointState.READY:
+                self._pools.add_endpoint(
+                    endpoint_of_policy.id, entry.address, endpoint_of_policy.started_at_ns
+                )
+            else:
+                retired_ids.append(endpoint_of_policy.id)
+        # Ahead of the retirement, which ends attempts: the policy may retry these at once.
+        self._dispatch_event(api.EndpointUpdate(kind, endpoints))
+        for endpoint_id in retired_ids:
+            self._pools.retire_endpoint(endpoint_id)
+        self._start_times.forget_removed(self._known)
+
+    def _to_policy_endpoint(self, endpoint: DiscoveredEndpoint) -> api.Endpoint:
+        """Translate an entry; names of zones and hardware types that are not configured share one index."""
+        zones, hardware_types = self._zone_indices, self._hardware_type_indices
+        return api.Endpoint(
+            hash_name(endpoint.id),
+            zones.get(endpoint.zone, len(zones)),
+            endpoint.cell,
+            endpoint.state,
+            endpoint.weight,
+            self._start_times.started_at_ns(endpoint),
+            hardware_types.get(endpoint.hardware_type, len(hardware_types)),
+        )
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -14,9 +14,11 @@
 from typing import cast
 
 from moleport.config.node_config import Config
-from moleport.node.dispatcher import ClientRequest, Dispatcher, hash_key
+from moleport.node.dispatcher import Dispatcher
 from moleport.node.error_codes import Fault, fault_of
 from moleport.node.hold_detector import HOLD_LEAST
+from moleport.node.name_hashing import hash_key
+from moleport.node.request import ClientRequest
 from moleport.node.request_parser import UP, ParsedRequest, RequestParser
 from moleport.telemetry import Event
 
--- /dev/null
+++ b/moleport/node/name_hashing.py
@@ -0,0 +1,18 @@
+"""Hashes of names and keys that are the same on every node and in every run."""
+
+from __future__ import annotations
+
+from hashlib import blake2b
+
+NAME_HASH_BYTES = 8
+
+
+def hash_name(name: str | bytes) -> bytes:
+    """Return the eight-byte BLAKE2b digest by which the policy knows a name."""
+    data = name if isinstance(name, bytes) else name.encode()
+    return blake2b(data, digest_size=NAME_HASH_BYTES).digest()
+
+
+def hash_key(key: bytes) -> int:
+    """Return the hash of a request's key as an integer, never 0, which stands for "no key"."""
+    return int.from_bytes(hash_name(key), "little") or 1
--- /dev/null
+++ b/moleport/node/request.py
@@ -0,0 +1,232 @@
+"""The life of one request, from its acceptance to its one final response.
+
+Each final response leaves through this file: `RequestRegistry.accept_request` rejects requests at once,
+`RequestRegistry.send_final_response` sends what an attempt or the policy has decided, and
+`RequestRegistry._fail` answers requests whose deadline has passed, or whose event the policy failed on.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from time import monotonic_ns
+from typing import Protocol
+
+from moleport.config.node_config import Config
+from moleport.node.attempt import Attempt
+from moleport.policy import interface as api
+from moleport.telemetry import Event, Telemetry
+
+NS_PER_MS = 1_000_000
+NS_PER_SECOND = 1e9
+RESPONSE_TRANSIT_NS = 5 * NS_PER_MS
+"""A final response is sent this long before the client's deadline, to reach the client in time."""
+
+Headers = list[tuple[bytes, bytes]]
+
+
+class ClientHandle(Protocol):
+    """The connection that a request came from; receives one final response."""
+
+    def has_disconnected(self) -> bool:
+        """Ask the kernel whether the client has closed its side, which the loop may not have read yet."""
+        ...
+
+    def send_response(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send the final response of the request in progress."""
+        ...
+
+
+@dataclass(slots=True, eq=False)
+class ClientRequest:
+    """A request as the listener has parsed it."""
+
+    client: ClientHandle
+    request_id: bytes  # set by the client, unique for each request
+    head: bytes  # request line and headers for a server, without X-Deadline and the blank line
+    body: bytes
+    class_index: int
+    tenant_index: int
+    key: int  # hash of the request's key; 0: none
+    is_client_retry: bool
+    deadline_ns: int  # monotonic ns
+
+
+@dataclass(slots=True, eq=False)
+class ActiveRequest:
+    """A request that has no final response yet, or has attempts in flight."""
+
+    number: int
+    client_request: ClientRequest
+    watchdog: asyncio.TimerHandle | None = None
+    is_answered: bool = False
+    client_left_at_ns: int = 0  # monotonic ns, when the client's half-close was seen; 0: never
+    first_execution_ns: int = 0  # monotonic ns, when the first attempt that may have run was written; 0: none
+    attempt_count: int = 0  # attempts so far
+    attempts: dict[int, Attempt] = field(default_factory=dict)  # in flight, by attempt index
+
+
+def retry_after_headers(delay_ns: int) -> Headers:
+    """Return a Retry-After header in seconds, or no header for a delay of 0."""
+    return [(b"Retry-After", b"%.3f" % (delay_ns / NS_PER_SECOND))] if delay_ns else []
+
+
+class RequestRegistry:
+    """Holds the active requests and sees to it that each gets exactly one final response."""
+
+    def __init__(
+        self, config: Config, telemetry: Telemetry, dispatch_event: Callable[[api.Event], None]
+    ) -> None:
+        """Report the requests and their ends to the policy through `dispatch_event`."""
+        self._config = config
+        self._telemetry = telemetry
+        self._dispatch_event = dispatch_event
+        self._loop = asyncio.get_running_loop()
+        self._request_ids: set[bytes] = set()  # of the active requests
+        self._last_number = 0
+        self._is_shutting_down = False
+        self.active: dict[int, ActiveRequest] = {}  # by number
+
+    # Acceptance.
+
+    def accept_request(self, client_request: ClientRequest) -> int:
+        """Pass a client's request to the policy, or reject it at once.
+
+        Returns the request's number, by which the listener refers to it later.
+        """
+        self._last_number += 1
+        now = monotonic_ns()
+        request = ActiveRequest(self._last_number, client_request)
+        self._telemetry.count(Event.REQUEST_RECEIVED, request=request.number, id=client_request.request_id)
+        remaining_ns = client_request.deadline_ns - RESPONSE_TRANSIT_NS - now
+        if remaining_ns <= 0:
+            self._telemetry.count(Event.REQUEST_EXPIRED_ON_ARRIVAL, request=request.number)
+            client_request.client.send_response(504, [], b"")
+        elif client_request.request_id in self._request_ids:
+            # Servers would take it for a retry of the other client's request.
+            self._telemetry.count(Event.REQUEST_DUPLICATE_ID, request=request.number)
+            client_request.client.send_response(409, [], b"")
+        elif self._is_shutting_down or len(self.active) >= self._config.max_requests:
+            self._telemetry.count(self._rejection_event(), request=request.number)
+            client_request.client.send_response(503, self.default_retry_after_headers(), b"")
+        else:
+            self.active[request.number] = request
+            self._request_ids.add(client_request.request_id)
+            request.watchdog = self._loop.call_later(
+                (client_request.deadline_ns - now) / NS_PER_SECOND, self._on_deadline, request
+            )
+            self._dispatch_event(
+                api.Request(
+                    request.number,
+                    remaining_ns,
+                    client_request.class_index,
+                    client_request.tenant_index,
+                    client_request.key,
+                    client_request.is_client_retry,
+                )
+            )
+        return request.number
+
+    def _rejection_event(self) -> Event:
+        if self._is_shutting_down:
+            return Event.REQUEST_REJECTED_AT_SHUTDOWN
+        return Event.REQUEST_REJECTED_BY_LIMIT
+
+    def default_retry_after_headers(self) -> Headers:
+        """Return the Retry-After header for a rejection that the policy does not decide."""
+        settings = self._config.policy_settings
+        return retry_after_headers(settings.max_retry_after_ns if settings.sends_retry_after else 0)
+
+    # Decisions of the policy.
+
+    def reject(self, action: api.Reject) -> None:
+        """Answer 503: the request was not executed."""
+        self._telemetry.count(Event.REQUEST_REJECTED_BY_POLICY, request=action.request_id)
+        self.send_final_response(action.request_id, 503, retry_after_headers(action.retry_after_ns))
+
+    def report_failure(self, action: api.Fail) -> None:
+        """Answer 504 if the deadline has come, else 502: the request may have been executed."""
+        self._telemetry.count(Event.REQUEST_FAILED_BY_POLICY, request=action.request_id)
+        request = self.active.get(action.request_id)
+        if request is None:
+            return
+        deadline_ns = request.client_request.deadline_ns - RESPONSE_TRANSIT_NS
+        status = 504 if monotonic_ns() >= deadline_ns else 502
+        self.send_final_response(action.request_id, status, [])
+
+    def on_policy_failed(self, number: int) -> None:
+        """Answer 502 for a request on whose event the policy raised an exception."""
+        request = self.active.get(number)
+        if request is not None:
+            self._fail(request, 502)
+
+    # Clients that leave.
+
+    def on_client_disconnected(self, number: int) -> None:
+        """End a request whose client's connection is closed."""
+        request = self.active.get(number)
+        if request is None or request.is_answered:
+            return
+        self._telemetry.count(Event.CLIENT_DISCONNECTED, request=number)
+        self._end_early(request)
+
+    def on_client_half_closed(self, number: int) -> None:
+        """Stop what is not written yet for a client that sends no more.
+
+        A client that closes its connection shows no more than that at first. Attempts that are written to
+        their last byte are waited for.
+        """
+        request = self.active.get(number)
+        if request is None or request.is_answered or request.client_left_at_ns:
+            return
+        self._telemetry.count(Event.CLIENT_DISCONNECTED, request=number)
+        request.client_left_at_ns = monotonic_ns()
+        self._dispatch_event(api.ClientDisconnected(number, is_half_closed=True))
+        for attempt in list(request.attempts.values()):
+            attempt.give_up_unwritten()
+
+    # Ends.
+
+    def fail_all(self) -> None:
+        """Answer 504 for all active requests and reject further ones: the process is about to end."""
+        self._is_shutting_down = True
+        for request in list(self.active.values()):
+            self._on_deadline(request)
+
+    def _on_deadline(self, request: ActiveRequest) -> None:
+        self._fail(request, 504)
+
+    def _fail(self, request: ActiveRequest, status: int) -> None:
+        if request.is_answered:
+            return
+        self._telemetry.count(Event.REQUEST_OVERDUE, request=request.number, status=status)
+        request.client_request.client.send_response(status, [], b"")
+        self._end_early(request)
+
+    def _end_early(self, request: ActiveRequest) -> None:
+        """End a request without a decision of the policy: notify the policy and cancel all attempts."""
+        self._mark_answered(request)
+        self._dispatch_event(api.ClientDisconnected(request.number))
+        for attempt in list(request.attempts.values()):
+            attempt.cancel()
+
+    def send_final_response(self, number: int, status: int, headers: Headers, body: bytes = b"") -> None:
+        """Send the final response of a request, unless it has had one."""
+        request = self.active.get(number)
+        if request is not None and not request.is_answered:
+            request.client_request.client.send_response(status, headers, body)
+            self._mark_answered(request)
+
+    def _mark_answered(self, request: ActiveRequest) -> None:
+        request.is_answered = True
+        if request.watchdog is not None:
+            request.watchdog.cancel()
+        self.remove_if_done(request)
+
+    def remove_if_done(self, request: ActiveRequest) -> None:
+        """Remove a request that is answered and has no attempt in flight."""
+        if not request.is_answered or request.attempts:
+            return
+        if self.active.pop(request.number, None) is not None:
+            self._request_ids.discard(request.client_request.request_id)
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -24,7 +24,7 @@
 from moleport.config.node_config import Config, load
 from moleport.node.attempt import ConnectionPools
 from moleport.node.discovery_watch import DiscoveryClient, WatchConnection
-from moleport.node.dispatcher import hash_name
+from moleport.node.name_hashing import hash_name
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 
@@ -194,13 +194,13 @@
         begun = perf_counter()
         agent.push(data)
         async with asyncio.timeout(PATIENCE):
-            while node._discovery._version < version or node._outstanding:
+            while node.endpoint_list.discovery._version < version or node.endpoint_list._pending:
                 await asyncio.sleep(0)
         found[f"{name} told"] = (perf_counter() - begun) * 1e3
         found[name] = turns.stop()
-        assert hash_name(entry(numbers[-1])["id"]) in node._ready
-        assert len(node._ready) == size + (version == 4)
-    node._discovery.close()
+        assert hash_name(entry(numbers[-1])["id"]) in node._ready_endpoint_ids
+        assert len(node._ready_endpoint_ids) == size + (version == 4)
+    node.endpoint_list.discovery.close()
     agent.close()
     gc.unfreeze()
     return found
@@ -227,10 +227,10 @@
     node, _ = build_node(configuration("127.0.0.1:1"))
     if not module:
         node._balancer = _NoModule()  # type: ignore[assignment]
-    node._list_came(DiscoveryUpdate(1, True, hosts(size)))
-    while len(node._ready) < size:
+    node.endpoint_list.on_update(DiscoveryUpdate(1, True, hosts(size)))
+    while len(node._ready_endpoint_ids) < size:
         await asyncio.sleep(0)
-    discovery = node._discovery
+    discovery = node.endpoint_list.discovery
     discovery._watch = watch = WatchConnection(discovery)
     found = []
     for number in range(20):
@@ -239,7 +239,7 @@
         watch.on_body(data)
         found.append(thread_time() - begun)
     discovery.close()
-    assert len(node._ready) == size + 20
+    assert len(node._ready_endpoint_ids) == size + 20
     return median(found) * 1e3
 
 
@@ -261,14 +261,14 @@
         node, _ = build_node(configuration("127.0.0.1:1"))
         node._balancer = _NoModule()  # type: ignore[assignment]
         with held(found, "the node's side", size):
-            node._list_came(DiscoveryUpdate(1, True, hosts(size)))
-            while len(node._ready) < size:
+            node.endpoint_list.on_update(DiscoveryUpdate(1, True, hosts(size)))
+            while len(node._ready_endpoint_ids) < size:
                 await asyncio.sleep(0)
         pools = ConnectionPools(100, 10**9, 10**9)
         balancer = Balancer(node._config.policy_settings, 1)
         with held(found, "entries", size):
             entries = hosts(size)
-        servers = tuple(node._server(host) for host in entries)
+        servers = tuple(node.endpoint_list._to_policy_endpoint(host) for host in entries)
         with held(found, "pools", size):
             for host, server in zip(entries, servers, strict=True):
                 pools.add_endpoint(server.id, host.address, server.started_at_ns)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -297,14 +297,14 @@
 
     async def __aexit__(self, *_: object) -> None:
         await self.front.shut_down(0.0, 0.0)
-        self.node._discovery.close()
+        self.node.endpoint_list.discovery.close()
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection(*self.address, limit=1 << 20))
 
     def watch(self) -> None:
         """Have the watch opened now; the module would ask within seconds."""
-        self.node._do(api.WatchEndpoints())
+        self.node._execute_action(api.WatchEndpoints())
 
 
 LEAVE = ("sending", "close", "reset")  # how a client may end
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -166,7 +166,7 @@
             release.set()
             assert status(await owner.read()) == 200
             assert status(await owner.ask(request("order", X_Request_Id="mine"))) == 200
-            assert len(server.seen) == 2 and not rig.node._identities
+            assert len(server.seen) == 2 and not rig.node.requests._request_ids
 
     run(test())
 
@@ -224,7 +224,7 @@
                 refused = await client.read()
                 assert (status(refused), refused.headers["retry-after"]) == (503, "1.500")
                 client.writer.close()
-            await until(lambda: not rig.front._connections and not rig.node._open)
+            await until(lambda: not rig.front._connections and not rig.node.requests.active)
             assert len(server.seen) == 1
 
     run(test())
@@ -255,7 +255,7 @@
             release.set()
             if how == "sending":
                 assert status(await client.read()) == 503  # it never ran
-            await until(lambda: not rig.front._connections and not rig.node._open)
+            await until(lambda: not rig.front._connections and not rig.node.requests.active)
             assert len(one.seen) + len(two.seen) == 1
             assert len([one for one in rig.spy.events if isinstance(one, api.AttemptOutcome)]) == 1
 
@@ -273,7 +273,7 @@
             (connection,) = rig.front._connections
             await until(lambda: connection._paused)
             assert len(connection._reader.ready) < 50
-            assert len(rig.node._open) == 1
+            assert len(rig.node.requests.active) == 1
 
     run(test())
 
@@ -524,14 +524,14 @@
             assert status(await client.ask(request("order"))) == 502
             assert "in the module" in caplog.text and "Traceback" in caplog.text
             assert status(await client.ask(request())) == 200
-            assert len(rig.node._open) == 1  # the other one is out still
+            assert len(rig.node.requests.active) == 1  # the other one is out still
 
     run(test())
 
 
 def test_a_timer_that_the_module_failed_on_comes_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a breaker that never updates again: its tick sets the next one itself."""
-    monkeypatch.setattr("moleport.node.dispatcher.MENDED_AFTER", 1_000_000)
+    monkeypatch.setattr("moleport.node.policy_timers.RETRY_AFTER_FAILURE_NS", 1_000_000)
     failed: list[int] = []
 
     def broken(event: api.Event) -> list[api.Action] | None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -24,7 +24,7 @@
 
 from moleport.config.endpoints import parse_update
 from moleport.node import attempt as upstream
-from moleport.node.dispatcher import hash_name
+from moleport.node.name_hashing import hash_name
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
@@ -141,7 +141,7 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: len(server.seen) == 3)
-            rig.node._do(api.CloseIdleConnections(hash_name("s-1")))
+            rig.node._execute_action(api.CloseIdleConnections(hash_name("s-1")))
             await until(lambda: server.open == 1)
 
     run(test())
@@ -163,7 +163,9 @@
             client.writer.write(request("order"))
             await until(lambda: len(server.seen) == 4)
             server.state = state
-            rig.node._list_came(change(other, full=True) if state == "absent" else change(server, other))
+            rig.node.endpoint_list.on_update(
+                change(other, full=True) if state == "absent" else change(server, other)
+            )
             await until(lambda: server.open == 1)  # the idle ones are closed
             assert set(await ask_at_once(rig, 4)) == {200}
             assert (len(server.seen), len(other.seen)) == (4, 4)
@@ -185,7 +187,7 @@
                 server.address = later.address
             else:
                 server.started_ms = 1_700_000_000_000
-            rig.node._list_came(change(server))
+            rig.node.endpoint_list.on_update(change(server))
             await until(lambda: server.open == 0)
             assert status(await client.ask(request())) == 200
             assert (server.connections, later.connections) == ((1, 1) if moved else (2, 0))
@@ -198,7 +200,7 @@
         async with Server("s-1") as server, Server("s-2") as other, Rig(configuration(server)) as rig:
             rig.node._pools._sockets_most = 2
             assert await ask_at_once(rig, 2) == [200, 200]
-            rig.node._list_came(change(server, other))
+            rig.node.endpoint_list.on_update(change(server, other))
             rig.node._pools._sockets_most = 1
             server.script = other.script = silent
             clients = [await rig.client() for _ in range(3)]
@@ -277,18 +279,18 @@
             def ends(connection: upstream.ServerConnection, transport: asyncio.BaseTransport) -> None:
                 made(connection, transport)
                 if how == "gone":
-                    (number,) = rig.node._open
+                    (number,) = rig.node.requests.active
                     rig.node.on_client_disconnected(number)
                 else:
                     server.state = "Gone"
-                    rig.node._list_came(change(server))
+                    rig.node.endpoint_list.on_update(change(server))
 
             monkeypatch.setattr(upstream.ServerConnection, "connection_made", ends)
             client.writer.write(request("order"))
             await until(lambda: rig.spy.outcomes())
             await until(lambda: server.connections and not server.open)
             assert not server.seen
-            assert rig.node._pools.sockets == 0 and not rig.node._open
+            assert rig.node._pools.sockets == 0 and not rig.node.requests.active
 
     run(test())
 
@@ -296,7 +298,7 @@
 def drains(rig: Rig, *servers: Server) -> None:
     for server in servers:
         server.state = "Terminating"
-    rig.node._list_came(change(*servers))
+    rig.node.endpoint_list.on_update(change(*servers))
 
 
 def test_a_drain_that_is_told_in_the_instant_of_a_request_is_kept() -> None:
@@ -353,7 +355,7 @@
                 first.writer.write(request("order", X_Key="7f3a"))
                 await until(lambda: server.seen)
                 second.writer.write(request("order", X_Key="7f3a"))
-                await until(lambda: len(rig.node._open) == 2)
+                await until(lambda: len(rig.node.requests.active) == 2)
                 drains(rig, server)
                 release.set()
                 assert [status(await one.read()) for one in (first, second)] == [200, 503]
@@ -368,9 +370,9 @@
             client = await rig.client()
             assert status(await client.ask(request())) == 200
             server.state = "Gone"
-            rig.node._list_came(change(server))
+            rig.node.endpoint_list.on_update(change(server))
             server.state = "Ready"
-            rig.node._list_came(change(server))
+            rig.node.endpoint_list.on_update(change(server))
             assert status(await client.ask(request())) == 200
             assert server.connections == 2
             await until(lambda: server.open == 1)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -33,7 +33,7 @@
 
 async def settled(rig: Rig) -> None:
     """Nothing is open, and what was written has arrived."""
-    await until(lambda: not rig.node._open and not rig.front._connections)
+    await until(lambda: not rig.node.requests.active and not rig.front._connections)
     await asyncio.sleep(0.05)
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,8 @@
 
 from moleport.config.endpoints import parse_address
 from moleport.node import discovery_watch as discovery
-from moleport.node.dispatcher import WATCH_DOUBLINGS, WATCH_PAUSE, WATCH_PAUSE_PART, hash_name
+from moleport.node.name_hashing import hash_name
+from moleport.node.reconnect_backoff import MAX_DOUBLINGS, MAX_DRAIN_GRACE_FRACTION, MIN_DELAY_SECONDS
 from moleport.policy import balancer as balance
 from moleport.policy import interface as api
 from moleport.policy.interface import EndpointState, EndpointUpdateKind
@@ -40,10 +41,10 @@
             age = asyncio.get_running_loop().time() * 1e9 - server.started_at_ns
             assert 0 <= age < 1e9  # the newest start of the first list is now, whatever the wall clock says
             assert server.started_at_ns - other.started_at_ns == 5 * 10**9
-            assert rig.node._ready == {hash_name("s-1"), hash_name("s-2"), hash_name("s-3")}
+            assert rig.node._ready_endpoint_ids == {hash_name("s-1"), hash_name("s-2"), hash_name("s-3")}
             source.push(12, two, full=True)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
-            assert rig.node._ready == {hash_name("s-2")}
+            assert rig.node._ready_endpoint_ids == {hash_name("s-2")}
             source.drop()
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
             rig.watch()
@@ -89,7 +90,7 @@
                 source.push_bytes(data[begin : begin + size])
             await until(lambda: len(rig.spy.lists(EndpointUpdateKind.SNAPSHOT)) == 3)
             assert [len(told.endpoints) for told in rig.spy.lists(EndpointUpdateKind.SNAPSHOT)] == [1, 1, 2]
-            assert rig.node._ready == {hash_name('s-"{'), hash_name("s-\\")}
+            assert rig.node._ready_endpoint_ids == {hash_name('s-"{'), hash_name("s-\\")}
             assert not rig.spy.lists(EndpointUpdateKind.FAILED) and len(source.targets) == 1
 
     run(test())
@@ -176,7 +177,7 @@
             source.drop()
             await asyncio.sleep(0.02)
             assert len(rig.spy.lists(EndpointUpdateKind.FAILED)) == 1
-            assert rig.node._ready == {hash_name("s-1")}
+            assert rig.node._ready_endpoint_ids == {hash_name("s-1")}
 
     run(test())
 
@@ -196,12 +197,12 @@
             source.push(9, one, full=True)
             source.push(8, one, two, full=True)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
-            assert rig.node._ready == {hash_name("s-1")}
+            assert rig.node._ready_endpoint_ids == {hash_name("s-1")}
             rig.watch()
             await until(lambda: len(source.targets) == 2)
             assert source.targets[1] == "GET /discovery/hosts?watch=1&from=0 HTTP/1.1"
             source.push(3, two, full=True)
-            await until(lambda: rig.node._ready == {hash_name("s-2")})
+            await until(lambda: rig.node._ready_endpoint_ids == {hash_name("s-2")})
 
     run(test())
 
@@ -215,7 +216,7 @@
             document["settings"]["MembershipMode"] = "pushed"
             async with Rig(document) as rig:
                 # Both are under way: the dial of the first watch, or the pause after it was refused.
-                await until(lambda: old.targets if moves else rig.node._failed_watches)
+                await until(lambda: old.targets if moves else rig.node.endpoint_list._backoff.failure_count)
                 rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
                 await until(lambda: new.targets)
                 new.push(2, server, full=True)
@@ -259,10 +260,10 @@
     """A dead watch was kept for 7 s. After 6 s a drain counts as told, heard or not, and what is sent to that
     server half a second later breaks a rule. The one opened in its place may be dead too."""
     counts_as_told, after_sighup, grace = 6.0, 4.0, 0.5
-    pause = WATCH_PAUSE_PART * grace
-    assert pause <= WATCH_PAUSE * 2**WATCH_DOUBLINGS
+    pause = MAX_DRAIN_GRACE_FRACTION * grace
+    assert pause <= MIN_DELAY_SECONDS * 2**MAX_DOUBLINGS
     assert min(discovery.LINE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) > 2.0  # an empty line comes as often
-    again = WATCH_PAUSE + discovery.FIRST_LINE_TIMEOUT_S + 2 * WATCH_PAUSE
+    again = MIN_DELAY_SECONDS + discovery.FIRST_LINE_TIMEOUT_S + 2 * MIN_DELAY_SECONDS
     assert discovery.LINE_TIMEOUT_S + again < counts_as_told
     assert discovery.FIRST_LINE_TIMEOUT_S + pause + discovery.AGENT_RESPONSE_TIMEOUT_S < after_sighup
     assert pause < grace  # an agent that comes back tells at once what it has
@@ -312,7 +313,7 @@
             if failure == "refused":
                 await source.listen()
             begun = asyncio.get_running_loop().time()
-            await until(lambda: rig.node._ready == {hash_name("s-1")})
+            await until(lambda: rig.node._ready_endpoint_ids == {hash_name("s-1")})
             return asyncio.get_running_loop().time() - begun
 
 
@@ -342,20 +343,22 @@
     async def pauses(seed: str) -> list[float]:
         document = configuration() | {"seed": seed}
         async with Discovery() as source, Rig(document | {"discovery": source.address}) as rig:
-            longest = WATCH_PAUSE_PART * rig.config.drain_grace_ns / 1e9
-            found = [rig.node._watch_pause() for _ in range(2000)]
+            longest = MAX_DRAIN_GRACE_FRACTION * rig.config.drain_grace_ns / 1e9
+            found = [rig.node.endpoint_list._backoff.next_delay_seconds() for _ in range(2000)]
             assert longest * 0.9 < max(found) <= longest
             rig.watch()
             await until(lambda: source.targets)
             source.push(9, full=True)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
-            assert rig.node._watch_pause() <= WATCH_PAUSE  # it answers again
+            assert (
+                rig.node.endpoint_list._backoff.next_delay_seconds() <= MIN_DELAY_SECONDS
+            )  # it answers again
             return found
 
     async def test() -> None:
         one, other = await pauses("1"), await pauses("2")
         for found in (one, other):
-            assert WATCH_PAUSE / 2 <= found[0] < found[2] < found[4]
+            assert MIN_DELAY_SECONDS / 2 <= found[0] < found[2] < found[4]
         assert not set(one) & set(other)
 
     run(test())
@@ -407,7 +410,7 @@
             assert not rig.spy.lists(EndpointUpdateKind.FAILED)
             rig.node.reload(replace(rig.config, discovery_address=parse_address("127.0.0.1:1")))
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
-            assert rig.node._ready == {hash_name("s-1")}
+            assert rig.node._ready_endpoint_ids == {hash_name("s-1")}
             assert (len(old.targets), len(new.targets)) == (1, 1)
 
     run(test())
@@ -426,7 +429,7 @@
 
 
 def test_pushed_lists_are_watched_without_being_asked(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("moleport.node.dispatcher.WATCH_PAUSE", 0.01)
+    monkeypatch.setattr("moleport.node.reconnect_backoff.MIN_DELAY_SECONDS", 0.01)
 
     async def test() -> None:
         async with Discovery() as source:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -24,8 +24,9 @@
     parse_update,
 )
 from moleport.node import discovery_watch as discovery
-from moleport.node import dispatcher as node
-from moleport.node.dispatcher import SLICE, hash_name
+from moleport.node import endpoint_list
+from moleport.node.endpoint_list import SLICE_ENDPOINT_COUNT
+from moleport.node.name_hashing import hash_name
 from moleport.policy import interface as api
 from moleport.policy.interface import EndpointState, EndpointUpdateKind
 from scale.lists import measure
@@ -67,7 +68,7 @@
 
 
 async def all_told(rig: Rig) -> None:
-    await until(lambda: not rig.node._outstanding)
+    await until(lambda: not rig.node.endpoint_list._pending)
 
 
 def ids(numbers: Iterable[int]) -> set[api.EndpointId]:
@@ -93,11 +94,12 @@
             asking = [asyncio.create_task(ask_on(await rig.client())) for _ in range(4)]
             await until(lambda: len(server.seen) > 20)
             source.push_bytes(text(9, entries(range(MANY), server.address)))
-            await until(lambda: len(rig.node._ready) == MANY)
+            await until(lambda: len(rig.node._ready_endpoint_ids) == MANY)
             events = rig.spy.events
             slices = [at for at, event in enumerate(events) if isinstance(event, api.EndpointUpdate)][1:]
             sizes = [len(events[at].endpoints) for at in slices]  # type: ignore[union-attr]
-            assert sum(sizes) == MANY - 100 and max(sizes) <= SLICE  # of those that are held nothing is told
+            # Nothing is told of those that are held.
+            assert sum(sizes) == MANY - 100 and max(sizes) <= SLICE_ENDPOINT_COUNT
             between = [
                 event for event in events[slices[0] : slices[-1]] if isinstance(event, api.AttemptOutcome)
             ]
@@ -106,7 +108,7 @@
             for one in asking:
                 assert not one.done()
                 one.cancel()
-            assert ready_in_module(rig) == rig.node._ready == ids(range(MANY))
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids == ids(range(MANY))
 
     run(test())
 
@@ -135,7 +137,7 @@
             await until(lambda: source.targets)
             turn()
             source.push_bytes(text(9, entries(range(MANY))))
-            await until(lambda: len(rig.node._ready) == MANY)
+            await until(lambda: len(rig.node._ready_endpoint_ids) == MANY)
 
     run(test())
     assert sum(count for _, count in read) == MANY
@@ -156,21 +158,21 @@
                 + entries(range(2000, 2100), **drains)
                 + entries(range(2200, MANY))
             )
-            rig.node._list_came(update(found))
-            assert not rig.node._ready & ids(range(2000, 2200))
+            rig.node.endpoint_list.on_update(update(found))
+            assert not rig.node._ready_endpoint_ids & ids(range(2000, 2200))
             assert not ready_in_module(rig) & ids(range(2000, 2200))
             states = {one.id: one.state for one in told(rig)[-1].endpoints}
             assert states == (
                 dict.fromkeys(ids(range(2000, 2100)), EndpointState.DRAINING)
                 | dict.fromkeys(ids(range(2100, 2200)), EndpointState.REMOVED)
             )
-            assert rig.node._outstanding
+            assert rig.node.endpoint_list._pending
             await all_told(rig)
             changed = [one for event in told(rig)[2:] for one in event.endpoints]
             assert {one.id for one in changed[:1000]} == ids(range(1000))  # in use, so before new ones
             assert {one.id for one in changed[1000:]} == ids(range(MANY, MANY + 1000))
             rest = {*range(2000), *range(2200, MANY + 1000)}
-            assert ready_in_module(rig) == rig.node._ready == ids(rest)
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids == ids(rest)
 
     run(test())
 
@@ -178,22 +180,22 @@
 def test_news_goes_before_what_is_outstanding_of_older_news() -> None:
     async def test() -> None:
         async with Rig(knowing([])) as rig:
-            rig.node._list_came(update(entries(range(MANY))))
+            rig.node.endpoint_list.on_update(update(entries(range(MANY))))
             drained, changed = entries([5000], state="Terminating"), entries([5001, 5002], weight=3.0)
-            rig.node._list_came(update(drained + changed, full=False))
+            rig.node.endpoint_list.on_update(update(drained + changed, full=False))
             assert {one.id for one in told(rig)[-1].endpoints} == ids([5000, 5001, 5002])
             await all_told(rig)
             view = module_view(rig)
             assert view[hash_name("s-5000")].state is EndpointState.DRAINING
             assert view[hash_name("s-5001")].weight == view[hash_name("s-5002")].weight == 3.0
-            assert len(view) == MANY and rig.node._ready == ids(range(MANY)) - ids([5000])
+            assert len(view) == MANY and rig.node._ready_endpoint_ids == ids(range(MANY)) - ids([5000])
             # A whole list, short or long, takes the place of all that is outstanding.
-            for count in (3, SLICE + 1):
-                rig.node._list_came(update(entries(range(MANY, 2 * MANY))))
-                assert rig.node._outstanding
-                rig.node._list_came(update(entries(range(count))))
+            for count in (3, SLICE_ENDPOINT_COUNT + 1):
+                rig.node.endpoint_list.on_update(update(entries(range(MANY, 2 * MANY))))
+                assert rig.node.endpoint_list._pending
+                rig.node.endpoint_list.on_update(update(entries(range(count))))
                 await all_told(rig)
-                assert ready_in_module(rig) == rig.node._ready == ids(range(count))
+                assert ready_in_module(rig) == rig.node._ready_endpoint_ids == ids(range(count))
 
     run(test())
 
@@ -202,7 +204,7 @@
 def test_whatever_comes_in_whatever_moment_module_and_pools_hold_what_was_told_last(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node, "SLICE", 4)
+    monkeypatch.setattr(endpoint_list, "SLICE_ENDPOINT_COUNT", 4)
     random = Random(seed)
 
     def drawn(number: int) -> dict[str, Any]:
@@ -227,19 +229,20 @@
                     held = {}
                 held |= {host.id: host for host in came.endpoints}
                 held = {name: host for name, host in held.items() if host.state is not EndpointState.REMOVED}
-                rig.node._list_came(came)
+                rig.node.endpoint_list.on_update(came)
                 serving = {
                     hash_name(name) for name, host in held.items() if host.state is EndpointState.READY
                 }
                 # Those that left are out of use before anything else happens; others may come later.
-                assert rig.node._ready <= serving and ready_in_module(rig) <= serving
+                assert rig.node._ready_endpoint_ids <= serving and ready_in_module(rig) <= serving
                 for _ in range(random.choice((0, 0, 1, 3))):
                     await asyncio.sleep(0)
             await all_told(rig)
-            assert rig.node._hosts == held
-            assert ready_in_module(rig) == rig.node._ready == serving
+            assert rig.node.endpoint_list._known == held
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids == serving
             assert module_view(rig) == {
-                hash_name(name): rig.node._server(host) for name, host in held.items()
+                hash_name(name): rig.node.endpoint_list._to_policy_endpoint(host)
+                for name, host in held.items()
             }
             for name, host in held.items():
                 pool = rig.node._pools.get(hash_name(name))
@@ -263,17 +266,17 @@
             client = await rig.client()
             for version in (9, 11):
                 source.push_bytes(text(version, entries(range(MANY), server.address)))
-                await until(lambda: len(rig.node._ready) == MANY)
+                await until(lambda: len(rig.node._ready_endpoint_ids) == MANY)
                 assert status(await client.ask(request())) == 200
                 source.push_bytes(text(version + 1, []))
                 await until(lambda: not rig.node.has_endpoints())
-                assert not rig.node._hosts and not ready_in_module(rig)
+                assert not rig.node.endpoint_list._known and not ready_in_module(rig)
                 assert status(await client.ask(request())) == 503
 
     run(test())
 
 
-@pytest.mark.parametrize("more", [0, 2 * SLICE])
+@pytest.mark.parametrize("more", [0, 2 * SLICE_ENDPOINT_COUNT])
 @pytest.mark.parametrize("full", [False, True])
 @pytest.mark.parametrize(
     ("first", "second"),
@@ -292,15 +295,15 @@
     async def test() -> None:
         async with Rig(knowing(entries([1, 2]))) as rig:
             doubled = entries([1], **first) + entries([2]) + entries([1], **second)
-            rig.node._list_came(update(entries(range(3, 3 + more)) + doubled, full))
+            rig.node.endpoint_list.on_update(update(entries(range(3, 3 + more)) + doubled, full))
             await all_told(rig)
             (last,) = parse_update({"version": 1, "servers": doubled[-1:]}).endpoints
-            assert ready_in_module(rig) == rig.node._ready
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids
             pool = rig.node._pools.get(hash_name("s-1"))
             assert (pool is not None) == (last.state is EndpointState.READY)
             if pool is not None:
                 assert pool.address == last.address
-                assert module_view(rig)[hash_name("s-1")] == rig.node._server(last)
+                assert module_view(rig)[hash_name("s-1")] == rig.node.endpoint_list._to_policy_endpoint(last)
 
     run(test())
 
@@ -313,9 +316,9 @@
             client = await rig.client()
             for number in (0, 1):
                 assert status(await client.ask(request())) == 200
-                rig.node._list_came(update(entries([number], state="Gone"), full=False))
+                rig.node.endpoint_list.on_update(update(entries([number], state="Gone"), full=False))
             assert status(await client.ask(request())) == 200
-            assert ready_in_module(rig) == rig.node._ready == ids([2])
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids == ids([2])
 
     run(test())
 
@@ -351,13 +354,13 @@
             source.push_bytes(text(9, found))
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
             assert f"s-{100 + at}" in caplog.text and len(caplog.text) < 500
-            assert ready_in_module(rig) == rig.node._ready == ids(range(10))
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids == ids(range(10))
             assert status(await (await rig.client()).ask(request())) == 200
             rig.watch()
             await until(lambda: len(source.targets) == 2)
             assert "from=0 " in source.targets[1]  # what was skipped is unknown
             source.push_bytes(text(9, entries(range(MANY), server.address)))
-            await until(lambda: rig.node._ready == ids(range(MANY)))
+            await until(lambda: rig.node._ready_endpoint_ids == ids(range(MANY)))
 
     run(test())
 
@@ -390,7 +393,7 @@
                 source.push_raw(b"0\r\n\r\n")
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
             await all_told(rig)
-            assert len(rig.node._ready) == MANY
+            assert len(rig.node._ready_endpoint_ids) == MANY
             # The last word is that the watch has ended: after it any news would tell that one stands.
             assert told(rig)[-1].kind is EndpointUpdateKind.FAILED
             await until(lambda: len(source.targets) == 2)  # the module asks again by itself
@@ -406,9 +409,9 @@
             await until(lambda: source.targets)
             changes = [text(10 + number, entries([number], state="Gone"), full=False) for number in range(5)]
             source.push_bytes(text(9, entries(range(MANY))) + b"\n" + b"".join(changes))
-            await until(lambda: len(rig.node._ready) == MANY - 5)
+            await until(lambda: len(rig.node._ready_endpoint_ids) == MANY - 5)
             await all_told(rig)
-            assert ready_in_module(rig) == rig.node._ready == ids(range(5, MANY))
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids == ids(range(5, MANY))
 
     run(test())
 
@@ -418,17 +421,17 @@
         async with Discovery() as old, Discovery() as new, Rig(knowing([], old)) as rig:
             rig.watch()
             await until(lambda: old.targets)
-            watching = rig.node._discovery
+            watching = rig.node.endpoint_list.discovery
             assert watching._watch is not None
             watching.on_object(watching._watch, text(9, entries(range(MANY))))
-            assert not rig.node._ready  # most of it is unread
+            assert not rig.node._ready_endpoint_ids  # most of it is unread
             rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
             await until(lambda: new.targets)
             assert "from=0 " in new.targets[0]
-            await until(lambda: len(rig.node._ready) == MANY)
+            await until(lambda: len(rig.node._ready_endpoint_ids) == MANY)
             new.push_bytes(text(2, entries(range(10, MANY + 10))))
-            await until(lambda: rig.node._ready == ids(range(10, MANY + 10)))
-            assert ready_in_module(rig) == rig.node._ready
+            await until(lambda: rig.node._ready_endpoint_ids == ids(range(10, MANY + 10)))
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids
             assert not rig.spy.lists(EndpointUpdateKind.FAILED)
 
     run(test())
@@ -443,7 +446,7 @@
                 await until(lambda: source.targets)
                 source.push_bytes(text(9, entries(range(MANY))))
                 await rig.node.wait_until_endpoints_known()
-                assert rig.node._ready == ids(range(MANY))
+                assert rig.node._ready_endpoint_ids == ids(range(MANY))
 
     run(test())
 
@@ -452,7 +455,7 @@
     async def test() -> None:
         async with Rig(knowing(entries(range(MANY)))) as rig:
             assert [len(one.endpoints) for one in rig.spy.lists(EndpointUpdateKind.CACHED)] == [MANY]
-            assert ready_in_module(rig) == rig.node._ready == ids(range(MANY))
+            assert ready_in_module(rig) == rig.node._ready_endpoint_ids == ids(range(MANY))
 
     run(test())
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -35,7 +35,7 @@
 
 from moleport.config.endpoints import parse_update
 from moleport.node import attempt as upstream
-from moleport.node.dispatcher import hash_name
+from moleport.node.name_hashing import hash_name
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
@@ -117,7 +117,7 @@
             assert (outcome.result, outcome.is_answered, outcome.attempt_index) == (result, closed, 0)
             if result is AttemptResult.OK:
                 assert got.body == b"frame"
-            assert not rig.node._open
+            assert not rig.node.requests.active
 
     run(test())
 
@@ -148,7 +148,9 @@
             got = await client.ask(request("order"))
             assert (status(got), got.body) == ((200, b"cut!") if whole else (502, b""))
             async with Server("s-2") as other:
-                rig.node._list_came(parse_update({"version": 8, "full": False, "servers": [other.entry()]}))
+                rig.node.endpoint_list.on_update(
+                    parse_update({"version": 8, "full": False, "servers": [other.entry()]})
+                )
                 while len(one.seen) < 2 or len(other.seen) < 2:  # until one goes there first
                     before = len(other.seen)
                     got = await client.ask(request())
@@ -214,7 +216,9 @@
                 client = await rig.client()
                 got = await client.ask(request("quick" if how == "silent" else "order"))
                 assert (status(got), got.body) == (expected, body if expected == 200 else b"")
-                await until(lambda: not server.open and not rig.node._open and not rig.node._pools.sockets)
+                await until(
+                    lambda: not server.open and not rig.node.requests.active and not rig.node._pools.sockets
+                )
                 assert len(server.seen) == 1
 
     run(test())
@@ -316,9 +320,11 @@
             async with Rig(configuration(server)) as rig:
                 client = await rig.client()
                 client.writer.write(request("order"))
-                await until(lambda: rig.node._open)
+                await until(lambda: rig.node.requests.active)
                 server.state = "Terminating"
-                rig.node._list_came(parse_update({"version": 8, "full": False, "servers": [server.entry()]}))
+                rig.node.endpoint_list.on_update(
+                    parse_update({"version": 8, "full": False, "servers": [server.entry()]})
+                )
                 assert status(await client.read()) == 503
                 assert [outcome.result for outcome in rig.spy.outcomes()] == [AttemptResult.NOT_SENT]
 
@@ -335,12 +341,12 @@
             async with Rig(configuration(server, DialTimeout=60_000_000_000)) as rig:
                 client = await rig.client()
                 client.writer.write(request("order"))
-                await until(lambda: rig.node._open)
+                await until(lambda: rig.node.requests.active)
                 client.leave(how)
                 if how == "sending":
                     got = await client.read()
                     assert (status(got), got.headers["retry-after"]) == (503, "1.500")
-                await until(lambda: not rig.front._connections and not rig.node._open)
+                await until(lambda: not rig.front._connections and not rig.node.requests.active)
                 await until(lambda: rig.node._pools.sockets == 0)
                 assert [one.result for one in rig.spy.outcomes()] in (
                     [AttemptResult.NOT_SENT],
@@ -367,15 +373,15 @@
                 first.writer.write(request("order", X_Key="7f3a"))
                 await until(lambda: server.seen)
                 second.writer.write(request("order", X_Key="7f3a"))
-                await until(lambda: len(rig.node._open) == 2)
+                await until(lambda: len(rig.node.requests.active) == 2)
                 second.leave(how)
                 if how == "sending":
                     got = await second.read()
                     assert (status(got), got.headers["retry-after"]) == (503, "0.100")
-                await until(lambda: len(rig.node._open) == 1)
+                await until(lambda: len(rig.node.requests.active) == 1)
                 release.set()
                 assert status(await first.read()) == 200
-                assert len(server.seen) == 1 and not rig.node._open
+                assert len(server.seen) == 1 and not rig.node.requests.active
 
     run(test())
 
@@ -396,7 +402,7 @@
             await until(lambda: server.open == 0)  # its connection is closed, never pooled
             # The connection is still good, and what comes next is the next request's.
             assert status(await client.ask(request(target="/nowhere"))) == 404
-            assert not rig.node._open
+            assert not rig.node.requests.active
 
     run(test())
 
@@ -472,7 +478,7 @@
             client = await rig.client()
             assert status(await client.ask(request(X_Deadline="150m"))) == 504
             assert [event for event in rig.spy.events if isinstance(event, api.ClientDisconnected)]
-            assert not rig.node._open
+            assert not rig.node.requests.active
 
     run(test())
 
@@ -489,7 +495,7 @@
             assert len(gone) == 1
             (outcome,) = rig.spy.outcomes()
             assert (outcome.result, outcome.is_answered) == (AttemptResult.CANCELLED, True)
-            assert not rig.node._open
+            assert not rig.node.requests.active
 
     run(test())
 
@@ -590,7 +596,11 @@
             sent = request("order", body=b"x" * 65536, **late)
             client.writer.write(sent)
             accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), PATIENCE)
-            await until(lambda: any(one.out[0]._connection for one in rig.node._open.values() if one.out))
+            await until(
+                lambda: any(
+                    one.attempts[0]._connection for one in rig.node.requests.active.values() if one.attempts
+                )
+            )
             if how == "reset":
                 accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 accepted.close()
@@ -598,7 +608,7 @@
                 client.leave("reset" if how == "gone" else "sending")
             if how != "gone":
                 assert status(await client.read()) == 503
-            await until(lambda: not rig.node._open)
+            await until(lambda: not rig.node.requests.active)
             (outcome,) = rig.spy.outcomes()
             never = {"gone": AttemptResult.CANCELLED, "ends": AttemptResult.NOT_SENT}
             assert outcome.result is never.get(how, AttemptResult.CONNECT_FAILED)
@@ -652,7 +662,7 @@
             client = await rig.client()
             assert status(await client.ask(request("order"))) == 503
             assert [one.result for one in rig.spy.outcomes()] == [result]
-            assert not server.seen and not rig.node._open
+            assert not server.seen and not rig.node.requests.active
 
     run(test())
 
@@ -697,7 +707,7 @@
                     client.writer.write(request("keyed", body=b"x" * 65536, **keys))
                     await until(lambda: server.seen)
                     update = {"version": 8, "full": False, "servers": [late.entry()]}
-                    rig.node._list_came(parse_update(update))
+                    rig.node.endpoint_list.on_update(parse_update(update))
                     listed.set()
                     await until(lambda: rig.spy.outcomes() and rig.node._pools.sockets)
                     await asyncio.sleep(window)
@@ -727,9 +737,9 @@
             client = await rig.client()
             client.writer.write(request(body=b"first"))
             await until(lambda: server.seen)
-            (open_request,) = rig.node._open.values()
+            (open_request,) = rig.node.requests.active.values()
             os.write(writers[0].get_extra_info("socket").fileno(), answer(body=b"first"))
-            rig.node._overdue(open_request)  # no turn of the loop since then
+            rig.node.requests._on_deadline(open_request)  # no turn of the loop since then
             assert status(await client.read()) == 504
             assert (await client.ask(request(body=b"next"))).body == b"next"
             assert [one.result for one in rig.spy.outcomes()] == [AttemptResult.CANCELLED, AttemptResult.OK]
