--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -22,10 +22,12 @@
 
 from moleport.config.node_config import Config
 from moleport.node.connection_table import ConnectionTable
-from moleport.node.dispatcher import ClientRequest, Dispatcher, hash_key
+from moleport.node.dispatcher import Dispatcher
 from moleport.node.hold_detector import MIN_HOLD_NS
 from moleport.node.kernel_socket import is_readable, is_reset, last_data_age_ns
+from moleport.node.name_hashing import hash_key
 from moleport.node.parsed_request import READINESS_PATH, ParsedRequest
+from moleport.node.request import ClientRequest
 from moleport.node.request_parser import RequestParser
 from moleport.telemetry import Event
 
