--- /dev/null
+++ b/tests/test_response_parser.py
@@ -0,0 +1,90 @@
+"""Responses of servers as a parser without a socket reads them: framing, limits and typed errors."""
+
+from __future__ import annotations
+
+import pytest
+
+from moleport.node.http_limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
+from moleport.node.response_parser import (
+    MAX_INTERIM_COUNT,
+    InvalidResponseError,
+    ResponseParser,
+    ServerResponse,
+)
+
+INTERIM = b"HTTP/1.1 103 Early Hints\r\n\r\n"
+RESPONSE = b"HTTP/1.1 200 OK\r\nX-Load: load=1\r\nETag: a\r\nContent-Length: 5\r\n\r\nframe"
+
+
+def parse(*pieces: bytes) -> ResponseParser:
+    parser = ResponseParser()
+    for piece in pieces:
+        parser.feed(piece)
+    return parser
+
+
+@pytest.mark.parametrize("size", [1, 7, 10**6])
+def test_a_response_is_complete_with_its_last_byte(size: int) -> None:
+    data = INTERIM + RESPONSE
+    pieces = [data[start : start + size] for start in range(0, len(data), size)]
+    assert not parse(*pieces[:-1]).is_complete
+    parser = parse(*pieces)
+    assert parser.is_complete and parser.is_reusable
+    assert parser.response() == ServerResponse(200, [(b"ETag", b"a")], b"frame", b"load=1")
+
+
+def test_a_parser_reads_one_response_after_another() -> None:
+    parser = parse(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+    assert (parser.status, parser.is_not_executed) == (503, True)
+    parser.reset()
+    assert not parser.is_complete and not parser.is_reusable
+    parser.feed(RESPONSE)
+    assert (parser.status, parser.is_not_executed) == (200, False)
+    assert parser.response().body == b"frame"
+
+
+@pytest.mark.parametrize(
+    ("data", "message"),
+    [
+        (b"SSH-2.0-server\r\n", "invalid response"),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", "unsupported transfer coding b'gzip'"),
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
+            f"response body of {MAX_BODY_BYTES + 1} bytes exceeds {MAX_BODY_BYTES}",
+        ),
+        (b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (MAX_BODY_BYTES + 1), f"exceeds {MAX_BODY_BYTES}"),
+        (b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * MAX_HEAD_BYTES, f"exceeds {MAX_HEAD_BYTES}"),
+        (INTERIM * (MAX_INTERIM_COUNT + 1), f"more than {MAX_INTERIM_COUNT} interim responses"),
+    ],
+)
+def test_an_invalid_response_raises_an_error_that_names_the_cause(data: bytes, message: str) -> None:
+    with pytest.raises(InvalidResponseError, match=message):
+        parse(data)
+
+
+def test_as_many_interim_responses_as_the_limit_are_read() -> None:
+    assert parse(INTERIM * MAX_INTERIM_COUNT + RESPONSE).response().status == 200
+
+
+@pytest.mark.parametrize("trailing", [RESPONSE, b"\x00noise"])
+def test_data_behind_a_complete_response_makes_the_connection_unusable(trailing: bytes) -> None:
+    parser = parse(RESPONSE + trailing)
+    assert parser.is_complete and not parser.is_reusable
+    assert parser.response().body == b"frame"
+
+
+@pytest.mark.parametrize(
+    ("data", "expected"),
+    [
+        (b"HTTP/1.1 200 OK\r\n\r\nframe", True),
+        (b"HTTP/1.1 500 X\r\n\r\n", True),
+        (b"HTTP/1.1 200 OK\r\n\r\n", False),  # cut off after the head
+        (b"HTTP/1.1 200 OK\r\n", False),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nframe", False),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nframe\r\n", False),
+    ],
+)
+def test_the_end_of_the_connection_completes_only_a_response_without_framing(
+    data: bytes, expected: bool
+) -> None:
+    assert parse(data).may_end_with_connection() is expected
