--- a/moleport/adapter/__main__.py
+++ b/moleport/adapter/__main__.py
@@ -8,7 +8,7 @@
 from typing import Any, BinaryIO, TypeVar
 
 from moleport.adapter import frames as wire
-from moleport.config.settings import SettingsError, settings_from
+from moleport.config.settings import SettingsError, parse_settings
 from moleport.policy import interface as api
 from moleport.policy.balancer import Balancer
 
@@ -37,7 +37,7 @@
 
 def read_settings(text: str) -> api.Settings:
     """Settings from the path=value lines of an instance's first message; raises SettingsError."""
-    return settings_from(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
+    return parse_settings(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
 
 def _lookup(table: Mapping[int, _T], value: int, what: str) -> _T:
--- a/moleport/config/__init__.py
+++ b/moleport/config/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform tells the node, read and checked; the only place that knows the words of the protocol."""
+"""Reads the node's configuration, its settings and discovery's endpoint lists, and translates their words."""
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -1,4 +1,19 @@
-"""The list of servers: its form, as discovery tells it and as the configuration holds it."""
+"""The endpoint list in JSON, as discovery sends it and the configuration file holds it.
+
+A list is an object with `version` (integer), `full` (true: a complete list; else changed entries only) and
+`servers`, a list of objects:
+
+| key | field of `DiscoveredEndpoint` | if it is left out |
+| --- | --- | --- |
+| `id` | `id` | an error |
+| `addr` | `address`, as host:port | an error, unless the endpoint is removed |
+| `state` | `state`: `Ready`, `Terminating` (draining) or `Gone` (removed) | an error |
+| `zone` | `zone` | empty |
+| `kind` | `hardware_type` | empty |
+| `cell` | `cell` | 0 |
+| `weight` | `weight` | 1 |
+| `started_ms` | `started_ms` | 0 |
+"""
 
 from __future__ import annotations
 
@@ -14,39 +29,51 @@
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
 }
+DEFAULT_WEIGHT = 1.0
+PORT_LIMIT = 1 << 16
 
 
 class EndpointListError(Exception):
-    """A list of servers that can't be used; the text says why."""
+    """An endpoint list or an address that can't be used; the text says why."""
 
 
 class DiscoveredEndpoint(NamedTuple):
-    """One entry of the list."""
+    """One entry of an endpoint list."""
 
     id: str
     address: tuple[str, int]
+    """Host and port; ("", 0) for an endpoint that is removed."""
     zone: str
     hardware_type: str
     cell: int
     state: EndpointState
     weight: float
-    started_ms: int  # Unix time; 0: long ago
+    """Relative capacity: positive and finite."""
+    started_ms: int
+    """Unix time of its last start in ms; 0: long ago."""
 
 
 class DiscoveryUpdate(NamedTuple):
+    """A complete endpoint list, or a change of one."""
+
     version: int
     is_snapshot: bool
+    """The list is complete: an endpoint that it leaves out is removed."""
     endpoints: tuple[DiscoveredEndpoint, ...]
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """Host and port of an address; there is no DNS, so the host is a number."""
+    """Return host and port of an address; raises EndpointListError.
+
+    The host has to be an IP address, since names are not resolved.
+    """
     if not isinstance(text, str):
         raise EndpointListError(f"no address: {text!r}")
     host, _, port = text.rpartition(":")
     try:
         if ":" in host:
-            from ipaddress import ip_address  # takes a scope too; seldom, and each start would pay its import
+            # inet_pton takes no scope. Imported where it is needed, as it would slow down each start.
+            from ipaddress import ip_address
 
             ip_address(host)
         else:
@@ -54,20 +81,22 @@
         number = int(port)
     except (OSError, ValueError):
         raise EndpointListError(f"no address: {text!r}") from None
-    if not 0 <= number < 1 << 16:
+    if not 0 <= number < PORT_LIMIT:
         raise EndpointListError(f"no port: {text!r}")
     return host, number
 
 
 def parse_update(document: object) -> DiscoveryUpdate:
-    """A whole list or a change of it, from its JSON form; raises ListError. Entries come as they stand: of
-    two with one id the later holds."""
-    version, full, entries = parse_update_header(document)
-    return DiscoveryUpdate(version, full, tuple(parse_endpoints(entries)))
+    """Return the update that a JSON document holds; raises EndpointListError.
+
+    Entries are not merged: of two with the same id, the later one holds.
+    """
+    version, is_snapshot, entries = parse_update_header(document)
+    return DiscoveryUpdate(version, is_snapshot, tuple(parse_endpoints(entries)))
 
 
 def parse_update_header(document: object) -> tuple[int, bool, list[object]]:
-    """Version, whether it is a whole list, and the entries, which are unread; raises ListError."""
+    """Return version, whether the list is complete, and its unparsed entries; raises EndpointListError."""
     if not isinstance(document, dict):
         raise EndpointListError("it is no object")
     version, entries = document.get("version"), document.get("servers")
@@ -77,32 +106,29 @@
 
 
 def parse_endpoints(entries: list[object]) -> list[DiscoveredEndpoint]:
-    """1 to 2 ms a thousand; raises ListError, which names the entry at fault."""
-    return [_host(entry) for entry in entries]
+    """Parse entries in 1 to 2 ms a thousand; raises EndpointListError, which names the entry at fault."""
+    return [_parse_endpoint(entry) for entry in entries]
 
 
-def _host(entry: Any) -> DiscoveredEndpoint:
+def _parse_endpoint(entry: Any) -> DiscoveredEndpoint:
     try:
         state = STATES[entry["state"]]
-        # One that is gone may have no address any more.
-        gone = state is EndpointState.REMOVED
-        address = ("", 0) if gone else parse_address(entry["addr"])
-        identity = entry["id"]
-        if not isinstance(identity, str):
+        is_removed = state is EndpointState.REMOVED
+        address = ("", 0) if is_removed else parse_address(entry["addr"])
+        endpoint_id = entry["id"]
+        if not isinstance(endpoint_id, str):
             raise ValueError("id is no text")
-        if not identity.isascii():
-            identity.encode()  # half of a surrogate pair has no bytes to hash
-        weight = float(entry.get("weight", 1.0))
+        if not endpoint_id.isascii():
+            endpoint_id.encode()  # raises for a lone surrogate, which could not be hashed
+        weight = float(entry.get("weight", DEFAULT_WEIGHT))
         return DiscoveredEndpoint(
-            # Many entries share these names, and each would hold a copy.
-            identity,
+            endpoint_id,
             address,
-            intern(str(entry.get("zone", ""))),
+            intern(str(entry.get("zone", ""))),  # interned: thousands of entries share a few names
             intern(str(entry.get("kind", ""))),
             int(entry.get("cell", 0)),
             state,
-            # Without end it would leave all others without keys; no figure is as any other.
-            weight if 0.0 < weight < inf else 1.0,
+            weight if 0.0 < weight < inf else DEFAULT_WEIGHT,  # also for NaN
             max(0, int(entry.get("started_ms", 0))),
         )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError, EndpointListError) as problem:
--- a/moleport/config/node_config.py
+++ b/moleport/config/node_config.py
@@ -1,4 +1,16 @@
-"""What the platform tells a node: its environment and its configuration file, checked."""
+"""Reads the node's configuration from its environment and its configuration file.
+
+`BALANCER_CONFIG` is the path of the file, a JSON object with these keys:
+
+| key | field of `Config` |
+| --- | --- |
+| `listen` | `listen_address`; the variable `BALANCER_LISTEN` goes before it |
+| `discovery` | `discovery_address`; the variable `BALANCER_DISCOVERY` goes before it at the start |
+| `seed` | `seed`, a number or hexadecimal text |
+| `limits.sockets` | `max_sockets` |
+| `known` | `cached_endpoints`, in the form of `moleport.config.endpoints` |
+| `settings` | all others; the words are in `moleport.config.protocol_keys` |
+"""
 
 from __future__ import annotations
 
@@ -8,86 +20,109 @@
 from typing import Any
 
 from moleport.config.endpoints import DiscoveryUpdate, EndpointListError, parse_address, parse_update
-from moleport.config.settings import SettingsError, Values, flat, settings_from
+from moleport.config.protocol_keys import ENTRY_NAME_KEY, NodeKey, RequestClassKey, SettingKey
+from moleport.config.settings import SettingsError, SettingsReader, flatten, parse_settings
 from moleport.policy import interface as api
 
-SOCKETS_LEAST = 96  # below that no node could serve anybody
+CONFIG_VARIABLE = "BALANCER_CONFIG"
+LISTEN_VARIABLE = "BALANCER_LISTEN"
+DISCOVERY_VARIABLE = "BALANCER_DISCOVERY"
+
+MIN_SOCKET_COUNT = 96
+"""With fewer, nothing is left for clients and endpoints beside the node's own descriptors."""
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text names the key."""
+    """The configuration can't be used; the text names the key or the variable at fault."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that a node is told, checked, in the form that it needs."""
+    """The node's configuration, checked. The indices are those that the decision module uses."""
 
     listen_address: tuple[str, int]
+    """Host and port."""
     discovery_address: tuple[str, int]
+    """Host and port."""
     seed: int
-    max_sockets: int  # file descriptors that the process may hold
+    max_sockets: int
+    """File descriptors that the process may use."""
     cached_endpoints: DiscoveryUpdate
+    """The endpoint list as the platform last had it; it may be stale."""
     policy_settings: api.Settings
-    class_indices: dict[bytes, int]  # by the names that stand on the wire
-    max_deadlines_ns: tuple[int, ...]  # ns, of each class
+    class_indices: dict[bytes, int]
+    """Index of each request class by its name in requests."""
+    max_deadlines_ns: tuple[int, ...]
+    """The longest deadline of a request, by class index."""
     tenant_indices: dict[bytes, int]
+    """Index of each tenant by its name in requests."""
     zone_indices: dict[str, int]
     hardware_type_indices: dict[str, int]
     load_report_fields: tuple[bytes, ...]
-    connect_timeout_ns: int  # ns
-    idle_timeout_ns: int  # ns
-    max_requests: int  # requests that the node may hold
-    drain_grace_ns: int  # ns in which sends to a server that is told to leave must end
+    """Names of the figures in an endpoint's load report, as they stand in responses."""
+    connect_timeout_ns: int
+    idle_timeout_ns: int
+    """An endpoint closes a connection that has been idle for this long."""
+    max_requests: int
+    """Requests that the node may have in flight."""
+    drain_grace_ns: int
+    """Time after an endpoint begins to drain by which sends to it have to end."""
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The node's configuration; raises ConfigError."""
-    path = environment.get("BALANCER_CONFIG")
+    """Read the node's configuration; raises ConfigError."""
+    document = _read_file(environment)
+    try:
+        return _parse(environment, document)
+    except (SettingsError, ValueError) as problem:
+        raise ConfigError(f"settings: {problem}") from None
+
+
+def reload(environment: Mapping[str, str]) -> Config:
+    """Read the configuration anew in a running process; raises ConfigError.
+
+    The environment is that of the process's start, so the file's discovery address is the newer one.
+    """
+    return load({name: text for name, text in environment.items() if name != DISCOVERY_VARIABLE})
+
+
+def _read_file(environment: Mapping[str, str]) -> dict[str, Any]:
+    path = environment.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigError("BALANCER_CONFIG is not set")
+        raise ConfigError(f"{CONFIG_VARIABLE} is not set")
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
     except OSError as problem:
-        raise ConfigError(f"BALANCER_CONFIG can't be read: {problem.strerror}") from None
+        raise ConfigError(f"{CONFIG_VARIABLE} can't be read: {problem.strerror}") from None
     except ValueError:
-        raise ConfigError("BALANCER_CONFIG is no JSON text") from None
+        raise ConfigError(f"{CONFIG_VARIABLE} is no JSON text") from None
     if not isinstance(document, dict):
-        raise ConfigError("BALANCER_CONFIG holds no JSON object")
-    try:
-        return _read(environment, document)
-    except (SettingsError, ValueError) as problem:
-        raise ConfigError(f"settings: {problem}") from None
-
+        raise ConfigError(f"{CONFIG_VARIABLE} holds no JSON object")
+    return document
 
-def reload(environment: Mapping[str, str]) -> Config:
-    """The configuration as its file tells it now. The environment is as old as the process: the file's
-    address of discovery is the newer one."""
-    return load({name: text for name, text in environment.items() if name != "BALANCER_DISCOVERY"})
 
-
-def _read(environment: Mapping[str, str], document: dict[str, Any]) -> Config:
+def _parse(environment: Mapping[str, str], document: dict[str, Any]) -> Config:
     tree = _object(document, "settings")
-    mapping = dict(flat(tree))
-    settings = settings_from(mapping)
-    values = Values(mapping)
+    values = dict(flatten(tree))
+    reader = SettingsReader(values)
     return Config(
-        listen_address=_address(environment, "BALANCER_LISTEN", document, "listen"),
-        discovery_address=_address(environment, "BALANCER_DISCOVERY", document, "discovery"),
+        policy_settings=parse_settings(values),
+        listen_address=_address(environment, LISTEN_VARIABLE, document, "listen"),
+        discovery_address=_address(environment, DISCOVERY_VARIABLE, document, "discovery"),
         seed=_seed(document),
-        max_sockets=_sockets(document),
-        cached_endpoints=_known(document),
-        policy_settings=settings,
-        class_indices={name.encode(): index for index, name in enumerate(_names(tree, "Grades"))},
-        max_deadlines_ns=values.each("Grades", lambda found, path: found.whole(f"{path}.Deadline", least=1)),
-        tenant_indices={name.encode(): index for index, name in enumerate(_names(tree, "Tenants"))},
-        zone_indices=_indexed(tree, "Zones"),
-        hardware_type_indices=_indexed(tree, "Kinds"),
-        load_report_fields=tuple(word.encode() for word in values.words("Feedback.Fields")),
-        connect_timeout_ns=values.whole("Limits.DialTimeout", least=1),
-        idle_timeout_ns=values.whole("Limits.IdleClose", least=1),
-        max_requests=values.whole("Limits.OpenCap", least=1),
-        drain_grace_ns=values.whole("Contract.StopSendingWithin"),
+        max_sockets=_max_sockets(document),
+        cached_endpoints=_cached_endpoints(document),
+        class_indices=_encoded_indices(_entry_names(tree, SettingKey.CLASSES)),
+        max_deadlines_ns=reader.entries(SettingKey.CLASSES, _max_deadline_ns),
+        tenant_indices=_encoded_indices(_entry_names(tree, SettingKey.TENANTS)),
+        zone_indices=_name_indices(tree, NodeKey.ZONES),
+        hardware_type_indices=_name_indices(tree, NodeKey.HARDWARE_TYPES),
+        load_report_fields=tuple(word.encode() for word in reader.words(SettingKey.LOAD_REPORT_FIELDS)),
+        connect_timeout_ns=reader.integer(NodeKey.CONNECT_TIMEOUT_NS, minimum=1),
+        idle_timeout_ns=reader.integer(SettingKey.IDLE_TIMEOUT_NS, minimum=1),
+        max_requests=reader.integer(NodeKey.MAX_REQUESTS, minimum=1),
+        drain_grace_ns=reader.integer(NodeKey.DRAIN_GRACE_NS),
     )
 
 
@@ -116,30 +151,38 @@
         raise ConfigError(f"seed is unreadable: {seed!r}") from None
 
 
-def _sockets(document: dict[str, Any]) -> int:
+def _max_sockets(document: dict[str, Any]) -> int:
     sockets = _object(document, "limits").get("sockets")
-    if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < SOCKETS_LEAST:
-        raise ConfigError(f"limits.sockets is no number from {SOCKETS_LEAST}: {sockets!r}")
+    if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < MIN_SOCKET_COUNT:
+        raise ConfigError(f"limits.sockets is no number from {MIN_SOCKET_COUNT}: {sockets!r}")
     return sockets
 
 
-def _known(document: dict[str, Any]) -> DiscoveryUpdate:
+def _cached_endpoints(document: dict[str, Any]) -> DiscoveryUpdate:
     try:
         return parse_update(document.get("known"))
     except EndpointListError as problem:
         raise ConfigError(f"known is unreadable: {problem}") from None
 
 
-def _names(tree: dict[str, Any], key: str) -> list[str]:
-    """The names in a list of objects; the wire's flat form would not keep their spaces and commas."""
-    found = tree.get(key) or []
-    if not all(isinstance(item, dict) and isinstance(item.get("Name"), str) for item in found):
-        raise ConfigError(f"settings: {key} has an entry without Name")
-    return [item["Name"] for item in found]
+def _max_deadline_ns(reader: SettingsReader, path: str) -> int:
+    return reader.integer(f"{path}.{RequestClassKey.MAX_DEADLINE_NS}", minimum=1)
+
+
+def _entry_names(tree: dict[str, Any], key: str) -> list[str]:
+    """Return the names in a list of objects; the flat form would not keep their spaces and commas."""
+    entries = tree.get(key) or []
+    if not all(isinstance(entry, dict) and isinstance(entry.get(ENTRY_NAME_KEY), str) for entry in entries):
+        raise ConfigError(f"settings: {key} has an entry without {ENTRY_NAME_KEY}")
+    return [entry[ENTRY_NAME_KEY] for entry in entries]
+
+
+def _encoded_indices(names: list[str]) -> dict[bytes, int]:
+    return {name.encode(): index for index, name in enumerate(names)}
 
 
-def _indexed(tree: dict[str, Any], key: str) -> dict[str, int]:
-    found = tree.get(key)
-    if not isinstance(found, list):
+def _name_indices(tree: dict[str, Any], key: str) -> dict[str, int]:
+    names = tree.get(key)
+    if not isinstance(names, list):
         raise ConfigError(f"settings: {key} is no list")
-    return {str(name): index for index, name in enumerate(found)}
+    return {str(name): index for index, name in enumerate(names)}
--- a/moleport/config/settings.py
+++ b/moleport/config/settings.py
@@ -1,50 +1,38 @@
-"""Reads the module's settings from a mapping of paths to values; the adapter and the node share it."""
+"""Reads the decision module's settings from a flat mapping of paths to text, for the adapter and the node.
+
+The paths and the words of their values are in `moleport.config.protocol_keys`.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator, Mapping
+from math import inf
 from typing import TypeVar
 
+from moleport.config import protocol_keys as protocol
+from moleport.config.protocol_keys import RequestClassKey, SettingKey, TenantKey
 from moleport.policy import interface as api
 
 _T = TypeVar("_T")
-
-REPEATS = {
-    "repeatable": api.Idempotency.IDEMPOTENT,
-    "by_key": api.Idempotency.IDEMPOTENCY_KEY,
-    "once": api.Idempotency.NOT_IDEMPOTENT,
-}
-GROUPS = {
-    "all": api.DeduplicationScope.ALL,
-    "zone": api.DeduplicationScope.ZONE,
-    "cell": api.DeduplicationScope.CELL,
-}
-LIST_MODES = {"pushed": api.DiscoveryMode.PUSH, "on_request": api.DiscoveryMode.POLL}
-FLAGS = {"true": True, "false": False}
-REPORT_FIELDS = {
-    "concurrent": "in_flight",
-    "depth": "queued",
-    "load_share": "utilization",
-    "mean_ms": "service_ms",
-    "tps": "completed_per_s",
-    "err_ps": "errors_per_s",
-}
+_Default = TypeVar("_Default")
 
 
 class SettingsError(Exception):
-    """A required setting is missing or unreadable; the text names it."""
+    """A setting is missing, unreadable or out of range; the text names it by its path in the protocol."""
+
 
+def flatten(tree: object, path: str = "") -> Iterator[tuple[str, str]]:
+    """Yield the paths and values of a settings object in the text form of the simulator's protocol.
 
-def flat(tree: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """The paths and values of a settings object, in the text form that the simulator's wire gives them:
-    lists of plain values joined with commas, lists of objects by their count and their indices."""
+    Lists of plain values are joined with commas; lists of objects have a count and a path for each index.
+    """
     if isinstance(tree, dict):
         for name, value in tree.items():
-            yield from flat(value, f"{path}.{name}" if path else str(name))
+            yield from flatten(value, f"{path}.{name}" if path else str(name))
     elif isinstance(tree, list) and tree and isinstance(tree[0], dict):
         yield f"{path}.count", str(len(tree))
         for index, value in enumerate(tree):
-            yield from flat(value, f"{path}.{index}")
+            yield from flatten(value, f"{path}.{index}")
     elif isinstance(tree, list):
         yield path, ",".join(str(value) for value in tree)
     elif isinstance(tree, bool):
@@ -53,100 +41,141 @@
         yield path, str(tree)
 
 
-class Values:
-    """Checked access to the settings by their paths."""
+class SettingsReader:
+    """Checked access to flat settings. Each method raises SettingsError if the setting can't be read."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
+        """Read from a mapping of paths to text."""
         self._values = values
 
+    def has(self, path: str) -> bool:
+        """Return whether the setting is present."""
+        return path in self._values
+
+    def optional(self, path: str, read: Callable[[str], _T], default: _Default) -> _T | _Default:
+        """Return what the method `read` makes of the setting, or the default if it is not present."""
+        return read(path) if path in self._values else default
+
     def text(self, path: str) -> str:
+        """Return the setting as it stands."""
         if path not in self._values:
             raise SettingsError(f"required setting {path} is missing")
         return self._values[path]
 
-    def has(self, path: str) -> bool:
-        return path in self._values
-
-    def _parsed(self, path: str, parse: Callable[[str], _T]) -> _T:
-        text = self.text(path)
-        try:
-            return parse(text)
-        except (ValueError, OverflowError):
-            raise SettingsError(f"required setting {path} is unreadable: {text!r}") from None
-
-    def whole(self, path: str, least: int = 0) -> int:
-        value = self._parsed(path, int)
-        if value < least:
-            raise SettingsError(f"required setting {path} is below {least}: {value}")
+    def integer(self, path: str, minimum: int = 0) -> int:
+        """Return an integer of at least the minimum."""
+        value = self._parse(path, int)
+        if value < minimum:
+            raise SettingsError(f"required setting {path} is below {minimum}: {value}")
         return value
 
     def number(self, path: str) -> float:
-        return self._parsed(path, _not_negative)
+        """Return a finite number of at least 0."""
+        return self._parse(path, _parse_number)
 
-    def one_of(self, path: str, table: Mapping[str, _T]) -> _T:
+    def one_of(self, path: str, meanings: Mapping[str, _T]) -> _T:
+        """Return the meaning of a setting that has to be one of these words."""
         text = self.text(path)
-        if text not in table:
+        if text not in meanings:
             raise SettingsError(f"required setting {path} is unreadable: {text!r}")
-        return table[text]
+        return meanings[text]
 
     def flag(self, path: str) -> bool:
-        return self.one_of(path, FLAGS)
+        """Return a boolean."""
+        return self.one_of(path, protocol.FLAGS)
 
     def words(self, path: str) -> tuple[str, ...]:
+        """Return the words of a comma-separated setting, without empty ones."""
         return tuple(word for word in self.text(path).split(",") if word)
 
-    def each(self, path: str, read: Callable[[Values, str], _T]) -> tuple[_T, ...]:
-        return tuple(read(self, f"{path}.{index}") for index in range(self.whole(f"{path}.count")))
+    def entries(self, path: str, read: Callable[[SettingsReader, str], _T]) -> tuple[_T, ...]:
+        """Return what `read` makes of each entry of a list setting; it is given the reader and the path."""
+        return tuple(read(self, f"{path}.{index}") for index in range(self.integer(f"{path}.count")))
+
+    def _parse(self, path: str, parse: Callable[[str], _T]) -> _T:
+        text = self.text(path)
+        try:
+            return parse(text)
+        except (ValueError, OverflowError):
+            raise SettingsError(f"required setting {path} is unreadable: {text!r}") from None
 
 
-def _not_negative(text: str) -> float:
-    value = float(text)
-    if not 0.0 <= value < float("inf"):
-        raise ValueError(text)
-    return value
+def parse_settings(values: Mapping[str, str]) -> api.Settings:
+    """Return the decision module's settings from a mapping of paths to text; raises SettingsError."""
+    reader = SettingsReader(values)
+    try:
+        return _parse_settings(reader)
+    except ValueError as problem:
+        raise _out_of_range(problem, SettingKey) from None
 
 
-def _request_class(values: Values, path: str) -> api.RequestClass:
-    return api.RequestClass(
-        latency_objective_ns=values.whole(f"{path}.Aim", least=1),
-        priority_weight=values.number(f"{path}.Worth"),
-        late_weight_ratio=values.number(f"{path}.LateShare"),
-        idempotency=values.one_of(f"{path}.Semantics", REPEATS),
-        deduplication_scope=values.one_of(f"{path}.Group", GROUPS),
-        deduplication_window_ns=values.whole(f"{path}.MemorySpan"),
-        ordered_by_key=values.has(f"{path}.OneAtATime") and values.flag(f"{path}.OneAtATime"),
+def _parse_settings(reader: SettingsReader) -> api.Settings:
+    return api.Settings(
+        classes=reader.entries(SettingKey.CLASSES, _parse_request_class),
+        tenants=_parse_tenants(reader),
+        node_count=reader.integer(SettingKey.NODE_COUNT, minimum=1),
+        discovery_mode=reader.one_of(SettingKey.DISCOVERY_MODE, protocol.DISCOVERY_MODES),
+        poll_interval_ns=reader.integer(SettingKey.POLL_INTERVAL_NS),
+        slow_start_initial_ratio=reader.number(SettingKey.SLOW_START_INITIAL_RATIO),
+        slow_start_duration_ns=reader.integer(SettingKey.SLOW_START_DURATION_NS),
+        max_attempts=reader.integer(SettingKey.MAX_ATTEMPTS, minimum=1),
+        max_retry_after_ns=reader.integer(SettingKey.MAX_RETRY_AFTER_NS),
+        sends_retry_after=reader.flag(SettingKey.SENDS_RETRY_AFTER),
+        weight_by_work=reader.one_of(SettingKey.WEIGHT_BY_WORK, protocol.WEIGHT_BY_WORK_VALUES),
+        load_report_fields=tuple(
+            protocol.LOAD_REPORT_FIELDS.get(word, word)
+            for word in reader.words(SettingKey.LOAD_REPORT_FIELDS)
+        ),
+        idle_timeout_ns=reader.integer(SettingKey.IDLE_TIMEOUT_NS),
+        key_cooldown_ns=reader.optional(SettingKey.KEY_COOLDOWN_NS, reader.integer, 0),
+        zone=reader.optional(SettingKey.ZONE, reader.integer, None),
+        overload_multiple=reader.optional(
+            SettingKey.OVERLOAD_MULTIPLE, reader.number, api.DEFAULT_OVERLOAD_MULTIPLE
+        ),
     )
 
 
-def _tenant(values: Values, path: str) -> api.Tenant:
-    return api.Tenant(
-        quota_ratio=values.number(f"{path}.Share"),
-    )
+def _parse_request_class(reader: SettingsReader, path: str) -> api.RequestClass:
+    try:
+        return api.RequestClass(
+            latency_objective_ns=reader.integer(f"{path}.{RequestClassKey.LATENCY_OBJECTIVE_NS}", minimum=1),
+            priority_weight=reader.number(f"{path}.{RequestClassKey.PRIORITY_WEIGHT}"),
+            late_weight_ratio=reader.number(f"{path}.{RequestClassKey.LATE_WEIGHT_RATIO}"),
+            idempotency=reader.one_of(f"{path}.{RequestClassKey.IDEMPOTENCY}", protocol.IDEMPOTENCY_VALUES),
+            deduplication_scope=reader.one_of(
+                f"{path}.{RequestClassKey.DEDUPLICATION_SCOPE}", protocol.DEDUPLICATION_SCOPES
+            ),
+            deduplication_window_ns=reader.integer(f"{path}.{RequestClassKey.DEDUPLICATION_WINDOW_NS}"),
+            ordered_by_key=reader.optional(f"{path}.{RequestClassKey.ORDERED_BY_KEY}", reader.flag, False),
+        )
+    except ValueError as problem:
+        raise _out_of_range(problem, RequestClassKey, f"{path}.") from None
 
 
-def _tenants(values: Values) -> tuple[api.Tenant, ...]:
-    """A site may define none."""
-    return values.each("Tenants", _tenant) if values.has("Tenants.count") else ()
+def _parse_tenants(reader: SettingsReader) -> tuple[api.Tenant, ...]:
+    if not reader.has(f"{SettingKey.TENANTS}.count"):
+        return ()
+    return reader.entries(SettingKey.TENANTS, _parse_tenant)
 
 
-def settings_from(mapping: Mapping[str, str]) -> api.Settings:
-    """The module's settings; raises SettingsError, or ValueError for what no balancer could work by."""
-    values, multiple = Values(mapping), "Contract.FallMultiple"
-    return api.Settings(
-        classes=values.each("Grades", _request_class),
-        tenants=_tenants(values),
-        node_count=values.whole("PeersTotal", least=1),
-        discovery_mode=values.one_of("MembershipMode", LIST_MODES),
-        poll_interval_ns=values.whole("Contract.AskWithin"),
-        slow_start_initial_ratio=values.number("Contract.ColdShare"),
-        slow_start_duration_ns=values.whole("Contract.Cold"),
-        max_attempts=values.whole("Limits.SendCap", least=1),
-        max_retry_after_ns=values.whole("Limits.MaxRetryAfter"),
-        sends_retry_after=values.flag("Limits.RetryAfter"),
-        weight_by_work=values.one_of("WorthBy", {"request": False, "work": True}),
-        load_report_fields=tuple(REPORT_FIELDS.get(word, word) for word in values.words("Feedback.Fields")),
-        idle_timeout_ns=values.whole("Limits.IdleClose"),
-        key_cooldown_ns=values.whole("Contract.KeyRest") if values.has("Contract.KeyRest") else 0,
-        zone=values.whole("MyZone") if values.has("MyZone") else None,
-        overload_multiple=values.number(multiple) if values.has(multiple) else api.DEFAULT_OVERLOAD_MULTIPLE,
-    )
+def _parse_tenant(reader: SettingsReader, path: str) -> api.Tenant:
+    try:
+        return api.Tenant(quota_ratio=reader.number(f"{path}.{TenantKey.QUOTA_RATIO}"))
+    except ValueError as problem:
+        raise _out_of_range(problem, TenantKey, f"{path}.") from None
+
+
+def _parse_number(text: str) -> float:
+    value = float(text)
+    if not 0.0 <= value < inf:
+        raise ValueError(text)
+    return value
+
+
+def _out_of_range(problem: ValueError, keys: type[object], prefix: str = "") -> SettingsError:
+    """Add the protocol's path to an error of the decision module, whose text begins with the field's name."""
+    field, _, statement = str(problem).partition(" ")
+    key = getattr(keys, field.upper(), None)
+    if key is None:
+        return SettingsError(str(problem))
+    return SettingsError(f"{prefix}{key} ({field}) {statement}")
