--- a/moleport/adapter/__init__.py
+++ b/moleport/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module on the wire of the simulator."""
+"""The decision module behind the simulator's binary protocol, on standard input and output."""
--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -1,85 +1,122 @@
-"""The frames of the adapter protocol: bytes to records and back. Knows layouts, not meanings."""
+"""The codec of the simulator's frames: bytes to records and actions to bytes.
 
-from __future__ import annotations
-
-import struct
-from enum import IntEnum
-from typing import BinaryIO, NamedTuple
+All numbers are little-endian and unpadded.
 
+Input frame: length (u32, of what follows), clock (u64, ns), record count (u32), records.
+Output frame: length (u32, of what follows), action count (u32), actions.
 
-class WireError(Exception):
-    """A frame that breaks the protocol; the text names what is wrong."""
-
+A record is its code (u8), its fixed fields, and for some codes a content whose item count is the last fixed
+field. The layouts are in `_FORMATS` (input) and `_ACTIONS` (output), in the notation of the struct module.
+"""
 
-class In(IntEnum):
-    SYNC = 0
-    ACK_FIRST = 1
-    SAMPLED = 2
-    SELECT = 3
-    CLIENT_GONE = 4
-    ATTACH = 5
-    MAIL = 6
-    INBOUND = 7
-    FINISHED = 8
-    DUE = 9
-    CRASH_NOW = 10
-    ROSTER = 11
+from __future__ import annotations
 
+import struct
+from collections.abc import Callable
+from typing import BinaryIO, NamedTuple
 
-class Out(IntEnum):
-    FORWARD = 64
-    BUSY = 65
-    REPORT_FAILURE = 66
-    WAKE_AT = 68
-    HANG_UP = 70
-    FAULT = 73
-    LISTEN = 74
-    SOURCE = 76
+from moleport.adapter.records import (
+    ActionCode,
+    AttachRecord,
+    AttemptOutcomeRecord,
+    ClientDisconnectedRecord,
+    CrashRecord,
+    EndpointListRecord,
+    EndpointUpdateRecord,
+    EventCode,
+    IgnoredRecord,
+    ListEntry,
+    Record,
+    RequestRecord,
+    SelectRecord,
+    TimerFiredRecord,
+)
 
 
-Record = tuple[int, tuple]  # type: ignore[type-arg]  # code, fields in the order of the layout
+class WireError(Exception):
+    """A frame that breaks the protocol; the text says how."""
 
 
 class Batch(NamedTuple):
-    clock: int
+    """The content of one input frame."""
+
+    clock_ns: int
     records: list[Record]
 
 
+Content = bytes | tuple[float, ...] | list[ListEntry]
+
 _LENGTH = struct.Struct("<I")
 _BATCH_HEADER = struct.Struct("<QI")
+_REPLY_HEADER = struct.Struct("<II")
 _ENTRY = struct.Struct("<6sBHHBfQ")
-_FIXED = {
-    In.SYNC: struct.Struct("<IBH"),
-    In.ACK_FIRST: struct.Struct("<Q6sQH"),
-    In.SAMPLED: struct.Struct("<6sHQB"),
-    In.SELECT: struct.Struct("<H"),
-    In.CLIENT_GONE: struct.Struct("<Q"),
-    In.ATTACH: struct.Struct("<QI"),
-    In.MAIL: struct.Struct("<HH"),
-    In.INBOUND: struct.Struct("<QQQIBQB"),
-    In.FINISHED: struct.Struct("<QBHQ6sHB"),
-    In.DUE: struct.Struct("<I"),
-    In.CRASH_NOW: struct.Struct("<"),
-    In.ROSTER: struct.Struct("<HI"),
-}
-_UNIT = {In.ATTACH: 1, In.MAIL: 1, In.ROSTER: _ENTRY.size, In.FINISHED: 4, In.SAMPLED: 4}
-"""Bytes of one item of the content that follows a count, for records whose last field is a count."""
+_FLOAT_BYTES = 4
+_ACTION_COUNT_BYTES = 4
+_MAX_TEXT_BYTES = 60_000
 
 _ACTIONS = {
-    Out.FORWARD: struct.Struct("<BQ6sQ"),
-    Out.BUSY: struct.Struct("<BQQ"),
-    Out.REPORT_FAILURE: struct.Struct("<BQ"),
-    Out.WAKE_AT: struct.Struct("<BQI"),
-    Out.HANG_UP: struct.Struct("<B6s"),
-    Out.LISTEN: struct.Struct("<BB"),
-    Out.SOURCE: struct.Struct("<BH"),
+    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # request, endpoint, timeout in ns
+    ActionCode.BUSY: struct.Struct("<BQQ"),  # request, time to stay away in ns
+    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),  # request
+    ActionCode.WAKE_AT: struct.Struct("<BQI"),  # clock time in ns, timer
+    ActionCode.HANG_UP: struct.Struct("<B6s"),  # endpoint
+    ActionCode.LISTEN: struct.Struct("<BB"),  # always 1
+    ActionCode.SOURCE: struct.Struct("<BH"),  # instance
+}
+_TEXT = struct.Struct("<BH")  # code, bytes of the text that follows
+
+
+def _read_bytes(frame: bytes, start: int, end: int) -> bytes:
+    return frame[start:end]
+
+
+def _read_floats(frame: bytes, start: int, end: int) -> tuple[float, ...]:
+    if start == end:
+        return ()
+    return struct.unpack_from(f"<{(end - start) // _FLOAT_BYTES}f", frame, start)
+
+
+def _read_entries(frame: bytes, start: int, end: int) -> list[ListEntry]:
+    return [ListEntry._make(fields) for fields in _ENTRY.iter_unpack(frame[start:end])]
+
+
+class _Format(NamedTuple):
+    """How a record is laid out after its code, and what it becomes."""
+
+    fixed: struct.Struct
+    record_type: Callable[..., Record]
+    item_bytes: int = 0
+    """Size of one item of the content; 0: the record has no content."""
+    read_content: Callable[[bytes, int, int], Content] = _read_bytes
+
+
+def _ignore(code: EventCode, layout: str, item_bytes: int = 0) -> _Format:
+    """Return the format of a record of which nothing but the code is kept."""
+    record = IgnoredRecord(code)
+    return _Format(struct.Struct(layout), lambda *_fields: record, item_bytes)
+
+
+_FORMATS: dict[int, _Format] = {
+    EventCode.SYNC: _Format(struct.Struct("<IBH"), EndpointUpdateRecord),
+    EventCode.ACK_FIRST: _ignore(EventCode.ACK_FIRST, "<Q6sQH"),
+    EventCode.SAMPLED: _ignore(EventCode.SAMPLED, "<6sHQB", _FLOAT_BYTES),
+    EventCode.SELECT: _Format(struct.Struct("<H"), SelectRecord),
+    EventCode.CLIENT_GONE: _Format(struct.Struct("<Q"), ClientDisconnectedRecord),
+    EventCode.ATTACH: _Format(struct.Struct("<QI"), AttachRecord, 1),
+    EventCode.MAIL: _ignore(EventCode.MAIL, "<HH", 1),
+    EventCode.INBOUND: _Format(struct.Struct("<QQQIBQB"), RequestRecord),
+    EventCode.FINISHED: _Format(struct.Struct("<QBHQ6sHB"), AttemptOutcomeRecord, _FLOAT_BYTES, _read_floats),
+    EventCode.DUE: _Format(struct.Struct("<I"), TimerFiredRecord),
+    EventCode.CRASH_NOW: _Format(struct.Struct("<"), CrashRecord),
+    EventCode.ROSTER: _Format(struct.Struct("<HI"), EndpointListRecord, _ENTRY.size, _read_entries),
 }
-_TEXT = struct.Struct("<BH")
-_TEXT_MOST = 60_000
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """The next frame without its length field; None at a clean end of input."""
+    """Read the next frame, without its length field; None at a clean end of input.
+
+    Raises WireError if the input ends inside a frame.
+    """
     head = stream.read(_LENGTH.size)
     if not head:
         return None
@@ -93,53 +130,54 @@
 
 
 def decode_batch(frame: bytes) -> Batch:
+    """Decode an input frame without its length field; raises WireError."""
     if len(frame) < _BATCH_HEADER.size:
         raise WireError(f"malformed frame: {len(frame)} bytes are too few for a batch header")
-    clock, count = _BATCH_HEADER.unpack_from(frame)
+    clock_ns, count = _BATCH_HEADER.unpack_from(frame)
     records: list[Record] = []
-    at, end = _BATCH_HEADER.size, len(frame)
+    position, end = _BATCH_HEADER.size, len(frame)
     for index in range(count):
-        if at >= end:
+        if position >= end:
             raise WireError(f"malformed frame: {count} records announced, {index} found")
-        code = frame[at]
-        layout = _FIXED.get(code)  # type: ignore[call-overload]
-        if layout is None:
+        code = frame[position]
+        record_format = _FORMATS.get(code)
+        if record_format is None:
             raise WireError(f"unknown event code {code} in record {index}")
-        body = at + 1
-        at = body + layout.size
-        if at > end:
-            raise WireError(f"malformed frame: record {index} ({In(code).name}) is cut short")
+        layout, record_type, item_bytes, read_content = record_format
+        body = position + 1
+        position = body + layout.size
+        if position > end:
+            raise _cut_short(index, code)
         fields = layout.unpack_from(frame, body)
-        unit = _UNIT.get(code)  # type: ignore[call-overload]
-        if unit:
-            start, at = at, at + fields[-1] * unit
-            if at > end:
-                raise WireError(f"malformed frame: record {index} ({In(code).name}) is cut short")
-            fields = (*fields[:-1], _content(code, frame, start, at))
-        records.append((code, fields))
-    if at != end:
-        raise WireError(f"malformed frame: {end - at} bytes follow the last record")
-    return Batch(clock, records)
-
-
-def _content(code: int, frame: bytes, start: int, end: int) -> object:
-    if code == In.ROSTER:
-        return list(_ENTRY.iter_unpack(frame[start:end]))
-    if code in (In.FINISHED, In.SAMPLED):
-        return struct.unpack_from(f"<{(end - start) // 4}f", frame, start) if end > start else ()
-    return frame[start:end]
+        if item_bytes:
+            start = position
+            position += fields[-1] * item_bytes
+            if position > end:
+                raise _cut_short(index, code)
+            records.append(record_type(*fields[:-1], read_content(frame, start, position)))
+        else:
+            records.append(record_type(*fields))
+    if position != end:
+        raise WireError(f"malformed frame: {end - position} bytes follow the last record")
+    return Batch(clock_ns, records)
+
+
+def _cut_short(index: int, code: int) -> WireError:
+    return WireError(f"malformed frame: record {index} ({EventCode(code).name}) is cut short")
 
 
-def encode_action(code: Out, *fields: int | bytes) -> bytes:
+def encode_action(code: ActionCode, *fields: int | bytes) -> bytes:
+    """Encode an action of fixed layout."""
     return _ACTIONS[code].pack(code, *fields)
 
 
-def encode_text(code: Out, text: str) -> bytes:
-    data = text.encode("utf-8", "replace")[:_TEXT_MOST]
+def encode_text(code: ActionCode, text: str) -> bytes:
+    """Encode an action that carries text, cut to what its length field takes."""
+    data = text.encode("utf-8", "replace")[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, len(data)) + data
 
 
 def encode_reply(actions: list[bytes]) -> bytes:
-    """A whole reply frame of encoded actions."""
+    """Return the complete output frame of encoded actions."""
     body = b"".join(actions)
-    return struct.pack("<II", 4 + len(body), len(actions)) + body
+    return _REPLY_HEADER.pack(_ACTION_COUNT_BYTES + len(body), len(actions)) + body
--- /dev/null
+++ b/moleport/adapter/translation.py
@@ -0,0 +1,213 @@
+"""Translates the simulator's records to the decision module's events, and its actions to records.
+
+Decides nothing itself.
+"""
+
+from __future__ import annotations
+
+import traceback
+from collections.abc import Mapping
+from typing import TypeVar
+
+from moleport.adapter import frames
+from moleport.adapter.frames import WireError
+from moleport.adapter.records import (
+    OPTION_CLIENT_RETRY,
+    ActionCode,
+    AttachRecord,
+    AttemptOutcomeRecord,
+    ClientDisconnectedRecord,
+    CrashRecord,
+    EndpointListRecord,
+    EndpointUpdateRecord,
+    IgnoredRecord,
+    ListEntry,
+    Record,
+    RequestRecord,
+    SelectRecord,
+    TimerFiredRecord,
+    protocol_name,
+)
+from moleport.config.settings import SettingsError, parse_settings
+from moleport.policy import interface as api
+from moleport.policy.balancer import Balancer
+
+_T = TypeVar("_T")
+
+UPDATE_KINDS = {
+    0: api.EndpointUpdateKind.CACHED,
+    2: api.EndpointUpdateKind.DELTA,
+    3: api.EndpointUpdateKind.SNAPSHOT,
+    4: api.EndpointUpdateKind.FAILED,
+}
+ENDPOINT_STATES = {
+    0: api.EndpointState.REMOVED,
+    1: api.EndpointState.READY,
+    2: api.EndpointState.DRAINING,
+}
+ATTEMPT_RESULTS = {
+    100: api.AttemptResult.OK,
+    301: api.AttemptResult.ERROR,
+    302: api.AttemptResult.REJECTED,
+    303: api.AttemptResult.TIMEOUT,
+    304: api.AttemptResult.CONNECT_FAILED,
+    305: api.AttemptResult.RESET,
+    306: api.AttemptResult.CANCELLED,
+    307: api.AttemptResult.NOT_SENT,
+}
+WATCH_ON = 1
+"""The only value of the field of a `LISTEN` action."""
+
+
+def read_settings(text: str) -> api.Settings:
+    """Read the settings from the path=value lines of an `AttachRecord`; raises SettingsError."""
+    return parse_settings(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
+
+
+def encode_action(action: api.Action) -> bytes:
+    """Encode an action of the decision module."""
+    if isinstance(action, api.Forward):
+        return frames.encode_action(
+            ActionCode.FORWARD, action.request_id, action.endpoint_id, action.timeout_ns
+        )
+    if isinstance(action, api.Reject):
+        return frames.encode_action(ActionCode.BUSY, *action)
+    if isinstance(action, api.Fail):
+        return frames.encode_action(ActionCode.REPORT_FAILURE, *action)
+    if isinstance(action, api.CloseIdleConnections):
+        return frames.encode_action(ActionCode.HANG_UP, *action)
+    if isinstance(action, api.SetTimer):
+        return frames.encode_action(ActionCode.WAKE_AT, *action)
+    return frames.encode_action(ActionCode.LISTEN, WATCH_ON)
+
+
+def _lookup(table: Mapping[int, _T], value: int, what: str) -> _T:
+    if value not in table:
+        raise WireError(f"unknown {what} {value}")
+    return table[value]
+
+
+def _endpoint(entry: ListEntry) -> api.Endpoint:
+    return api.Endpoint(
+        id=entry.id,
+        zone=entry.zone,
+        cell=entry.cell,
+        state=_lookup(ENDPOINT_STATES, entry.state, "server state"),
+        weight=entry.weight,
+        started_at_ns=entry.started_at_ns,
+        hardware_type=entry.hardware_type,
+    )
+
+
+class Adapter:
+    """All instances of the decision module in this process, and the endpoint lists they refer to."""
+
+    def __init__(self) -> None:
+        """Start without instances and without lists."""
+        self._balancers: dict[int, Balancer] = {}
+        self._class_counts: dict[int, int] = {}  # by instance
+        self._endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}
+
+    def answer(self, frame: bytes) -> bytes:
+        """Return the output frame for one input frame, which comes without its length field.
+
+        Raises WireError or SettingsError for input that breaks the protocol.
+        """
+        clock_ns, records = frames.decode_batch(frame)
+        encoded_actions: list[bytes] = []
+        current: int | None = None
+        source: int | None = None
+        for record in records:
+            if isinstance(record, SelectRecord):
+                current = record.instance
+                continue
+            if isinstance(record, EndpointListRecord):
+                self._endpoint_lists[record.list_number] = tuple(map(_endpoint, record.entries))
+                continue
+            if current is None:
+                raise WireError(f"{protocol_name(record)} comes before any SELECT")
+            encoded = self._apply(clock_ns, current, record)
+            if encoded and source != current:
+                source = current
+                encoded_actions.append(frames.encode_action(ActionCode.SOURCE, current))
+            encoded_actions += encoded
+        return frames.encode_reply(encoded_actions)
+
+    def _apply(self, clock_ns: int, instance: int, record: Record) -> list[bytes]:
+        """Apply a record to its instance, and return the encoded actions."""
+        if isinstance(record, AttachRecord):
+            return self._attach(clock_ns, instance, record)
+        if isinstance(record, CrashRecord):
+            self._balancers.pop(instance, None)
+            return []
+        balancer = self._balancers.get(instance)
+        if balancer is None:
+            raise WireError(f"{protocol_name(record)} for instance {instance}, which is not attached")
+        if isinstance(record, IgnoredRecord):
+            return []
+        event = self._event(instance, record)
+        try:
+            actions = balancer.handle(clock_ns, event)
+        except Exception:
+            return [_encode_fault()]
+        return [encode_action(action) for action in actions]
+
+    def _attach(self, clock_ns: int, instance: int, record: AttachRecord) -> list[bytes]:
+        try:
+            text = record.settings_text.decode("utf-8")
+        except UnicodeDecodeError:
+            raise SettingsError("the settings are not UTF-8 text") from None
+        settings = read_settings(text)
+        try:
+            balancer = Balancer(settings, record.seed)
+            self._balancers[instance] = balancer
+            self._class_counts[instance] = len(settings.classes)
+            actions = balancer.start(clock_ns)
+        except Exception:
+            return [_encode_fault()]
+        return [encode_action(action) for action in actions]
+
+    def _event(self, instance: int, record: Record) -> api.Event:
+        """Translate a record to an event; raises WireError for a code or a number that is not known."""
+        if isinstance(record, RequestRecord):
+            return self._request(instance, record)
+        if isinstance(record, AttemptOutcomeRecord):
+            return _attempt_outcome(record)
+        if isinstance(record, TimerFiredRecord):
+            return api.TimerFired(record.timer_id)
+        if isinstance(record, EndpointUpdateRecord):
+            return self._endpoint_update(record)
+        if isinstance(record, ClientDisconnectedRecord):
+            return api.ClientDisconnected(record.request_id)
+        raise WireError(f"{protocol_name(record)} is no event")
+
+    def _request(self, instance: int, record: RequestRecord) -> api.Request:
+        request_id, _, remaining_ns, tenant_index, class_index, key, options = record
+        if class_index >= self._class_counts[instance]:
+            raise WireError(f"unknown request class {class_index}")
+        is_client_retry = bool(options & OPTION_CLIENT_RETRY)
+        return api.Request(request_id, remaining_ns, class_index, tenant_index, key, is_client_retry)
+
+    def _endpoint_update(self, record: EndpointUpdateRecord) -> api.EndpointUpdate:
+        kind = _lookup(UPDATE_KINDS, record.kind, "list kind")
+        if kind is api.EndpointUpdateKind.FAILED:
+            return api.EndpointUpdate(kind, ())
+        return api.EndpointUpdate(kind, _lookup(self._endpoint_lists, record.list_number, "list number"))
+
+
+def _attempt_outcome(record: AttemptOutcomeRecord) -> api.AttemptOutcome:
+    request_id, is_answered, result, elapsed_ns, endpoint_id, attempt_index, load_report = record
+    return api.AttemptOutcome(
+        request_id,
+        bool(is_answered),
+        _lookup(ATTEMPT_RESULTS, result, "outcome"),
+        elapsed_ns,
+        endpoint_id,
+        attempt_index,
+        load_report,
+    )
+
+
+def _encode_fault() -> bytes:
+    """Report the exception in hand: the decision module failed, and no action may be made up for it."""
+    return frames.encode_text(ActionCode.FAULT, traceback.format_exc(limit=-4))
