--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -24,7 +24,6 @@
 ACCEPT_BACKOFF_SECONDS = 0.002  # after the first failure; doubles with each failure in a row
 MAX_ACCEPT_BACKOFF_SECONDS = 0.05
 MAX_ACCEPT_BACKOFF_DOUBLINGS = 5
-DRAIN_CHECK_PERIOD_SECONDS = 0.02
 
 
 class Listener:
@@ -139,29 +138,19 @@
             accepted.close()
             self.table.release_slot()
 
-    async def shut_down(self, serve_on: float, within: float) -> None:
-        """Serve on for a while, since clients go on coming; then finish what is in flight, and end."""
-        self.context.is_stopping = True
-        end = self._loop.time() + within
-        await asyncio.sleep(serve_on)
-        self.context.is_draining = True
-        for _ in range(BACKLOG_CONNECTIONS // ACCEPT_BATCH_CONNECTIONS):
-            self.accept_batch()
-        while self._has_waiting_clients() and self._loop.time() < end:
-            self.table.close_unused()
-            await asyncio.sleep(DRAIN_CHECK_PERIOD_SECONDS)
-            self.accept_batch()
+    # Shutdown, in the order in which graceful_shutdown calls it.
+
+    def has_waiting_clients(self) -> bool:
+        """Return whether clients wait in the kernel's queue: they would be reset with the socket."""
+        return self._socket is not None and is_readable(self._socket.fileno())
+
+    def stop_listening(self) -> None:
+        """Close the listening socket; the connections stay open."""
         self._pause_accepting()
         if self._socket is not None:
             self._socket.close()
             self._socket = None
-        await asyncio.gather(*self._connecting)
-        while self.table.connections and self._loop.time() < end:
-            await asyncio.sleep(DRAIN_CHECK_PERIOD_SECONDS)  # first, what new connections have sent is read
-            self.table.close_unused()
-        self.context.dispatcher.fail_all_requests()
-        await asyncio.sleep(DRAIN_CHECK_PERIOD_SECONDS)
 
-    def _has_waiting_clients(self) -> bool:
-        """Return whether clients wait in the kernel's queue: they would be reset with the socket."""
-        return self._socket is not None and is_readable(self._socket.fileno())
+    async def wait_until_connected(self) -> None:
+        """Wait until every accepted socket has become a connection or has failed to."""
+        await asyncio.gather(*self._connecting)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -17,6 +17,7 @@
 
 from moleport.config.node_config import Config, load
 from moleport.node.dispatcher import Dispatcher
+from moleport.node.graceful_shutdown import ShutdownPlan, shut_down
 from moleport.node.listener import Listener
 from moleport.node.node_factory import build_node
 from moleport.policy import interface as api
@@ -296,9 +297,13 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.front.shut_down(0.0, 0.0)
+        await self.shut_down(within=0.0)
         self.node._discovery.close()
 
+    async def shut_down(self, within: float) -> None:
+        """As on SIGTERM, but without serving on first; `within` is in s."""
+        await shut_down(self.front, self.node, ShutdownPlan(serve_on_s=0.0, finish_within_s=within))
+
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection(*self.address, limit=1 << 20))
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -623,7 +623,7 @@
             for client in clients:
                 client.writer.write(request("order"))
             await until(lambda: len(server.seen) == 2)
-            stopping = asyncio.create_task(rig.front.shut_down(0.0, 15.0))
+            stopping = asyncio.create_task(rig.shut_down(within=15.0))
             await until(lambda: rig.front.context.is_draining)
             release.set()
             assert [status(await client.read()) for client in clients] == [200] * 5
@@ -669,7 +669,7 @@
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request())
                 await until(lambda: connection._slow_reader is not None)  # a part is out, the rest is not
-                stopping = asyncio.create_task(rig.front.shut_down(0.0, 15.0))
+                stopping = asyncio.create_task(rig.shut_down(within=15.0))
                 await until(lambda: rig.front._socket is None)
                 got = b""
                 while piece := await loop.sock_recv(client, 1 << 16):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -37,8 +37,8 @@
     until,
 )
 
-from moleport.__main__ import SERVE_ON, plan_end
 from moleport.config.node_config import load
+from moleport.node.graceful_shutdown import MIN_SERVE_ON_SECONDS, plan_shutdown
 from moleport.node.node_factory import max_client_connections
 
 ROOT = Path(__file__).parent.parent
@@ -46,7 +46,10 @@
 
 
 # The program, but with time enough after SIGTERM that a slow machine gives the same verdict.
-SLOWER = "import sys, moleport.__main__ as program; program.SERVE_ON = 2.0; sys.exit(program.main())"
+SLOWER = (
+    "import sys, moleport.__main__ as program, moleport.node.graceful_shutdown as graceful_shutdown;"
+    "graceful_shutdown.MIN_SERVE_ON_SECONDS = 2.0; sys.exit(program.main())"
+)
 # The program, but an agent that takes its time is waited for.
 PATIENT = (
     "import sys, moleport.__main__ as program, moleport.node.discovery_watch as discovery;"
@@ -214,19 +217,26 @@
 
 @pytest.mark.parametrize(
     ("aim_ms", "deadline_ms", "late", "serve_on"),
-    [(1000, 5000, 0.0, 2.4), (1000, 5000, 0.5, SERVE_ON), (9000, 9000, 0.0, SERVE_ON), (400, 1000, 0.0, 1.0)],
+    [
+        (1000, 5000, 0.0, 2.4),
+        (1000, 5000, 0.5, MIN_SERVE_ON_SECONDS),
+        (9000, 9000, 0.0, MIN_SERVE_ON_SECONDS),
+        (400, 1000, 0.0, 1.0),
+    ],
 )
 def test_after_sigterm_a_node_serves_on_as_long_as_it_can_still_answer_in_time(
     aim_ms: int, deadline_ms: int, late: float, serve_on: float, tmp_path: Path
 ) -> None:
-    assert SERVE_ON > 0.4  # s: so long new connections go on coming
+    assert MIN_SERVE_ON_SECONDS > 0.4  # s: so long new connections go on coming
     document = configuration()
     document["settings"]["Grades"] = [grade("page", "once", deadline_ms, aim_ms) | {"LateShare": late}]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document))
-    planned, within = plan_end(load({"BALANCER_CONFIG": str(path)}))
-    assert planned == pytest.approx(serve_on)
-    assert within == pytest.approx(min(3.0, deadline_ms / 1000) + 0.4)  # SIGKILL: 0.3 s later or more
+    plan = plan_shutdown(load({"BALANCER_CONFIG": str(path)}))
+    assert plan.serve_on_s == pytest.approx(serve_on)
+    assert plan.finish_within_s == pytest.approx(
+        min(3.0, deadline_ms / 1000) + 0.4
+    )  # SIGKILL: 0.3 s later or more
 
 
 def test_sighup_moves_the_watch_and_keeps_list_and_requests(tmp_path: Path) -> None:
