--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to servers: which are kept, which are closed, and how many there may be."""
+"""Connections to servers: which are reused, which are closed, and how many there may be."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 from moleport.policy.interface import AttemptResult
 
 
-def change(*servers: Server, full: bool = False):  # type: ignore[no-untyped-def]
+def endpoint_update(*servers: Server, full: bool = False):  # type: ignore[no-untyped-def]
     return parse_update({"version": 9, "full": full, "servers": [server.entry() for server in servers]})
 
 
-async def ask_at_once(rig: Rig, count: int) -> list[int]:
+async def send_at_once(rig: Rig, count: int) -> list[int]:
     clients = [await rig.client() for _ in range(count)]
     return [status(got) for got in await asyncio.gather(*(client.ask(request()) for client in clients))]
 
 
-def test_connections_are_used_again_the_latest_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_most_recently_used_connection_is_reused_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            assert await ask_at_once(rig, 2) == [200, 200]
+            assert await send_at_once(rig, 2) == [200, 200]
             assert server.connections == 2
             (pool,) = rig.node._pools._pools.values()
             latest = pool.idle[-1]
@@ -57,11 +57,13 @@
     run(test())
 
 
-def test_a_connection_rests_after_an_answer_and_is_looked_at_before_it_is_used_again(
+def test_a_connection_cools_down_after_a_response_and_is_checked_before_reuse(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A second copy of an answer came behind it, and was with the kernel when the next request went out: its
-    client was served with the other one's answer."""
+    """A duplicate of a response may still be in the kernel as the next request is written.
+
+    The client of that request would get the duplicate as its response.
+    """
     monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 10**12)
 
     async def test() -> None:
@@ -75,10 +77,10 @@
             client = await rig.client()
             assert (await client.ask(request(body=b"one"))).body == b"one"
             assert (await client.ask(request(body=b"two"))).body == b"two"
-            assert server.connections == 2  # the first one rests
+            assert server.connections == 2  # the first one is cooling down
             monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
             (pool,) = rig.node._pools._pools.values()
-            # Both are sent at once, before the loop can see what has come with them.
+            # Both duplicates are written at once, before the loop can read them.
             for connection in pool.idle:
                 connection.data_received = lambda data: None  # type: ignore[method-assign]
             peers = [writer.get_extra_info("socket") for writer in writers]
@@ -93,7 +95,7 @@
 
 
 @pytest.mark.parametrize("reply", [answer(Connection="close"), answer().replace(b"HTTP/1.1", b"HTTP/1.0")])
-def test_a_connection_that_the_server_ends_is_not_kept(reply: bytes) -> None:
+def test_a_connection_that_the_server_ends_is_not_reused(reply: bytes) -> None:
     async def test() -> None:
         async with Server("s-1", says(reply)) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -105,7 +107,7 @@
     run(test())
 
 
-def test_idle_connections_are_dropped_before_the_servers_limit() -> None:
+def test_idle_connections_are_closed_before_the_idle_timeout_of_the_server() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server, IdleClose=200_000_000)) as rig:
             client = await rig.client()
@@ -116,7 +118,7 @@
     run(test())
 
 
-def test_a_connection_that_the_server_closes_while_idle_is_forgotten() -> None:
+def test_a_connection_that_the_server_closes_while_idle_leaves_the_pool() -> None:
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
 
@@ -134,10 +136,10 @@
     run(test())
 
 
-def test_hang_up_closes_idle_connections_only() -> None:
+def test_closing_idle_connections_leaves_those_in_use() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            assert await ask_at_once(rig, 2) == [200, 200]
+            assert await send_at_once(rig, 2) == [200, 200]
             server.script = silent
             client = await rig.client()
             client.writer.write(request())
@@ -149,7 +151,7 @@
 
 
 @pytest.mark.parametrize("state", ["Terminating", "Gone", "absent"])
-def test_a_server_that_leaves_gets_nothing_new_and_finishes_what_it_has(state: str) -> None:
+def test_a_draining_or_removed_server_gets_no_new_request_and_finishes_those_in_flight(state: str) -> None:
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -158,15 +160,17 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Server("s-2") as other, Rig(configuration(server)) as rig:
-            assert await ask_at_once(rig, 3) == [200, 200, 200]
+            assert await send_at_once(rig, 3) == [200, 200, 200]
             server.script = waits
             client = await rig.client()
             client.writer.write(request("order"))
             await until(lambda: len(server.seen) == 4)
             server.state = state
-            rig.node._list_came(change(other, full=True) if state == "absent" else change(server, other))
+            rig.node._list_came(
+                endpoint_update(other, full=True) if state == "absent" else endpoint_update(server, other)
+            )
             await until(lambda: server.open == 1)  # the idle ones are closed
-            assert set(await ask_at_once(rig, 4)) == {200}
+            assert set(await send_at_once(rig, 4)) == {200}
             assert (len(server.seen), len(other.seen)) == (4, 4)
             release.set()
             assert (await client.read()).body == b"late"
@@ -186,7 +190,7 @@
                 server.address = later.address
             else:
                 server.started_ms = 1_700_000_000_000
-            rig.node._list_came(change(server))
+            rig.node._list_came(endpoint_update(server))
             await until(lambda: server.open == 0)
             assert status(await client.ask(request())) == 200
             assert (server.connections, later.connections) == ((1, 1) if moved else (2, 0))
@@ -194,12 +198,12 @@
     run(test())
 
 
-def test_want_of_descriptors_is_no_fault_of_a_server_and_idle_ones_make_room() -> None:
+def test_a_lack_of_descriptors_is_no_fault_of_a_server_and_closes_idle_connections() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Server("s-2") as other, Rig(configuration(server)) as rig:
             rig.node._pools._max_sockets = 2
-            assert await ask_at_once(rig, 2) == [200, 200]
-            rig.node._list_came(change(server, other))
+            assert await send_at_once(rig, 2) == [200, 200]
+            rig.node._list_came(endpoint_update(server, other))
             rig.node._pools._max_sockets = 1
             server.script = other.script = silent
             clients = [await rig.client() for _ in range(3)]
@@ -207,15 +211,14 @@
                 client.writer.write(request("order"))
             await until(lambda: [one for one in rig.spy.outcomes() if one.result is AttemptResult.NOT_SENT])
             assert not [one for one in rig.spy.outcomes() if one.result is AttemptResult.CONNECT_FAILED]
-            # Closing the idle ones, where they still rest, takes a turn of the loop.
+            # Closing the idle ones, while they cool down, takes an iteration of the loop.
             await until(lambda: rig.node._pools.sockets <= 2)
 
     run(test())
 
 
-def test_connections_that_have_ended_are_freed_at_once() -> None:
-    """Each was held by its own parser until the collector came, hundreds at a time: memory that never went
-    back, on days on which connections are ever new."""
+def test_closed_connections_are_freed_without_the_garbage_collector() -> None:
+    """A connection and its parser refer to each other; without the garbage collector they would stay."""
 
     async def test() -> None:
         once = says(answer(Connection="close"))
@@ -238,15 +241,16 @@
     run(test())
 
 
-def test_dials_and_watches_that_fail_are_freed_at_once() -> None:
-    """The parser of each was made before its connection came up, and nobody parted the two where it did not.
-    The watch that the rig's module asks for after 0.1 s is one such: on a busy machine the test above lasted
-    longer, and found its parser."""
+def test_failed_connects_and_watches_are_freed_without_the_garbage_collector() -> None:
+    """A connection that is not established must leave no parser either.
+
+    The watch that the policy of the rig starts after 0.1 s is one such.
+    """
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             server.stop()
-            await asyncio.sleep(0.3)  # the module's own watch has failed by now
+            await asyncio.sleep(0.3)  # the policy's own watch has failed by now
             gc.collect()
             gc.disable()
             try:
@@ -263,12 +267,14 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["retired", "gone"])
-def test_a_dial_that_comes_up_as_its_attempt_ends_leaves_no_trace(
+@pytest.mark.parametrize("how", ["retired", "disconnected"])
+def test_a_connection_established_as_its_attempt_ends_is_closed_and_not_counted(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Cancelled between the two, the dial closed its connection unseen: it counted as open for good, until
-    the node had no room for a further one."""
+    """The loop closes a connection without notice if connecting is cancelled just as it is established.
+
+    It must not count as open after that.
+    """
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -277,12 +283,12 @@
 
             def ends(connection: ServerConnection, transport: asyncio.BaseTransport) -> None:
                 made(connection, transport)
-                if how == "gone":
+                if how == "disconnected":
                     (number,) = rig.node._open
                     rig.node.on_client_disconnected(number)
                 else:
                     server.state = "Gone"
-                    rig.node._list_came(change(server))
+                    rig.node._list_came(endpoint_update(server))
 
             monkeypatch.setattr(ServerConnection, "connection_made", ends)
             client.writer.write(request("order"))
@@ -294,19 +300,19 @@
     run(test())
 
 
-def drains(rig: Rig, *servers: Server) -> None:
+def start_draining(rig: Rig, *servers: Server) -> None:
     for server in servers:
         server.state = "Terminating"
-    rig.node._list_came(change(*servers))
+    rig.node._list_came(endpoint_update(*servers))
 
 
-def test_a_drain_that_is_told_in_the_instant_of_a_request_is_kept() -> None:
+def test_a_drain_in_the_same_loop_iteration_as_a_request_is_respected() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            assert status(await client.ask(request())) == 200  # an idle connection stands
+            assert status(await client.ask(request())) == 200  # opens a connection, idle from now on
             assert os.write(client.writer.get_extra_info("socket").fileno(), request())
-            drains(rig, server)  # no turn of the loop since then
+            start_draining(rig, server)  # in the same iteration of the loop
             assert status(await client.read()) == 503
             assert len(server.seen) == 1
 
@@ -314,23 +320,23 @@
 
 
 @pytest.mark.parametrize("kind", ["page", "order"])
-def test_a_drain_between_two_attempts_is_kept(kind: str) -> None:
+def test_a_drain_between_two_attempts_is_respected(kind: str) -> None:
     release = asyncio.Event()
 
-    async def turns_away(_: Message, writer: asyncio.StreamWriter) -> None:
+    async def rejects(_: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer(503, X_Not_Run="1"))
 
     async def test() -> None:
         async with (
-            Server("s-1", turns_away) as one,
-            Server("s-2", turns_away) as two,
+            Server("s-1", rejects) as one,
+            Server("s-2", rejects) as two,
             Rig(configuration(one, two)) as rig,
         ):
             client = await rig.client()
             client.writer.write(request(kind))
             await until(lambda: one.seen or two.seen)
-            drains(rig, one, two)
+            start_draining(rig, one, two)
             release.set()
             assert status(await client.read()) == 503
             assert len(one.seen) + len(two.seen) == 1
@@ -338,7 +344,7 @@
     run(test())
 
 
-def test_a_drain_is_kept_for_what_waits_for_its_turn() -> None:
+def test_a_drain_is_respected_for_a_request_queued_behind_its_key() -> None:
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -355,7 +361,7 @@
                 await until(lambda: server.seen)
                 second.writer.write(request("order", X_Key="7f3a"))
                 await until(lambda: len(rig.node._open) == 2)
-                drains(rig, server)
+                start_draining(rig, server)
                 release.set()
                 assert [status(await one.read()) for one in (first, second)] == [200, 503]
                 assert len(server.seen) == 1
@@ -363,15 +369,15 @@
     run(test())
 
 
-def test_a_server_that_comes_back_at_its_address_gets_new_connections_only() -> None:
+def test_a_server_that_returns_at_its_address_gets_new_connections_only() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             assert status(await client.ask(request())) == 200
             server.state = "Gone"
-            rig.node._list_came(change(server))
+            rig.node._list_came(endpoint_update(server))
             server.state = "Ready"
-            rig.node._list_came(change(server))
+            rig.node._list_came(endpoint_update(server))
             assert status(await client.ask(request())) == 200
             assert server.connections == 2
             await until(lambda: server.open == 1)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,7 +1,6 @@
-"""Clients that leave while their requests wait: nothing is sent on for them, at whatever moment they go.
+"""Clients that disconnect while their requests wait: nothing is forwarded for them.
 
-Each closes in an instant in which its end lies unread with the kernel as an attempt would begin. Looked for
-only as the loop came to it, that end was read behind the attempt.
+Each closes at a moment at which the end of its connection is unread in the kernel as an attempt would begin.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
-CROWD = 300  # clients
+CROWD_CLIENTS = 300
 
 
 def connect(rig: Rig) -> socket.socket:
-    """A client that the loop does not serve: what it does is done at once."""
+    """Return a blocking client connection, which acts without the event loop."""
     return socket.create_connection(rig.address)
 
 
@@ -32,16 +31,16 @@
 
 
 async def settled(rig: Rig) -> None:
-    """Nothing is open, and what was written has arrived."""
+    """Wait until no request is open, and what was written has arrived."""
     await until(lambda: not rig.node._open and not rig.front._connections)
     await asyncio.sleep(0.05)
 
 
-def test_no_further_attempt_is_made_as_a_client_leaves() -> None:
+def test_there_is_no_retry_as_a_client_disconnects() -> None:
     async def test() -> None:
         async with Server("s-1") as one, Server("s-2") as two, Rig(configuration(one, two)) as rig:
             client = connect(rig)
-            while not (one.seen and two.seen):  # each has a connection then
+            while not (one.seen and two.seen):  # then there is a connection to each
                 client.sendall(request())
                 await asyncio.sleep(0.05)
             before = len(one.seen) + len(two.seen)
@@ -66,8 +65,10 @@
     return document
 
 
-def test_a_request_whose_client_leaves_as_its_turn_comes_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)  # the connection is free for it at once
+def test_a_queued_request_whose_client_disconnects_as_it_is_due_is_not_forwarded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)  # the connection may be reused at once
 
     async def slow(_: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.05)
@@ -94,7 +95,7 @@
     run(test())
 
 
-def test_clients_that_left_while_they_waited_for_a_place_are_not_served(
+def test_requests_of_clients_that_left_the_accept_queue_are_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
@@ -111,45 +112,45 @@
             stays.sendall(request())
             await until(lambda: server.seen)
             for _ in range(20):
-                gone = connect(rig)
-                gone.sendall(request("order", body=b"x"))
-                gone.close()
-            late = connect(rig)
-            late.sendall(request())
+                leaver = connect(rig)
+                leaver.sendall(request("order", body=b"x"))
+                leaver.close()
+            last = connect(rig)
+            last.sendall(request())
             await asyncio.sleep(0.1)
             release.set()
             stays.close()
             await until(lambda: len(server.seen) > 1)
-            late.close()
+            last.close()
             await settled(rig)
             assert len(server.seen) == 2
 
     run(test())
 
 
-def test_clients_that_left_before_a_late_loop_reads_their_requests_are_not_served() -> None:
+def test_requests_of_clients_that_left_while_the_loop_was_blocked_are_not_forwarded() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             first = connect(rig)
             first.sendall(request())
             await until(rig.spy.outcomes)
             first.close()
-            await settled(rig)  # its connection to the server stands
+            await settled(rig)  # its connection to the server is idle
             clients = [connect(rig) for _ in range(20)]
             await until(lambda: len(rig.front._connections) == len(clients))
             await asyncio.sleep(0.1)
             for client in clients:
                 client.sendall(request("order", body=b"x"))
                 client.close()
-            time.sleep(0.2)  # the loop stands still
+            time.sleep(0.2)  # blocks the event loop
             await settled(rig)
             assert len(server.seen) == 1
 
     run(test())
 
 
-def test_a_crowd_that_leaves_in_one_instant_has_nothing_sent_on() -> None:
-    """Between two attempts, and behind a pipelined request. The decisions are as far as they can go."""
+def test_nothing_is_forwarded_for_a_crowd_that_disconnects_at_once() -> None:
+    """Between two attempts, and behind a pipelined request, with a policy that always retries."""
     release = asyncio.Event()
 
     async def resets(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -176,14 +177,14 @@
                 return None
 
             rig.spy.instead = decide
-            clients = [connect(rig) for _ in range(CROWD)]
+            clients = [connect(rig) for _ in range(CROWD_CLIENTS)]
             for client in clients:
                 client.sendall(request() + request())
-            await until(lambda: len(one.seen) + len(two.seen) == CROWD)
+            await until(lambda: len(one.seen) + len(two.seen) == CROWD_CLIENTS)
             for client in clients:
                 client.close()
             release.set()
             await settled(rig)
-            assert len(one.seen) + len(two.seen) == CROWD
+            assert len(one.seen) + len(two.seen) == CROWD_CLIENTS
 
     run(test())
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,6 +1,7 @@
-"""How an attempt ends is told as the protocol's table says, and the client hears what follows from it.
+"""The result that the policy gets for each way in which an attempt ends, and the response to the client.
 
-A class that is unsafe to repeat shows it from outside: a refusal (503) only if nothing may have run."""
+Requests of a class that is not idempotent show it from outside: a 503 means that nothing was executed.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +42,7 @@
 
 CODING = b"Transfer-Encoding: chunked\r\n"
 CHUNKED = b"HTTP/1.1 200 OK\r\n" + CODING + b"\r\n"
-TURNED_AWAY = {"X_Not_Run": "1"}
+REJECTION = {"X_Not_Run": "1"}
 
 
 @pytest.mark.parametrize(
@@ -53,7 +54,7 @@
             says(b"HTTP/1.1 200 OK\r\n\r\nframe", close=True),
             AttemptResult.OK,
             200,
-        ),  # its end is the connection's
+        ),  # ends with the connection
         (says(b"HTTP/1.1 200 OK\r\n\r\nframe", abort=True), AttemptResult.RESET, 502),
         (says(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfra", abort=True), AttemptResult.RESET, 502),
         (says(b"HTTP/1.0 200 OK\r\n\r\nframe", close=True), AttemptResult.OK, 200),
@@ -79,9 +80,9 @@
         (says(answer(503)), AttemptResult.ERROR, 502),
         (says(answer(504)), AttemptResult.ERROR, 502),
         (says(answer(503, X_Not_Run="0")), AttemptResult.ERROR, 502),
-        (says(answer(503, **TURNED_AWAY)), AttemptResult.REJECTED, 503),
-        (says(answer(504, **TURNED_AWAY)), AttemptResult.REJECTED, 503),
-        (says(answer(500, **TURNED_AWAY)), AttemptResult.ERROR, 502),
+        (says(answer(503, **REJECTION)), AttemptResult.REJECTED, 503),
+        (says(answer(504, **REJECTION)), AttemptResult.REJECTED, 503),
+        (says(answer(500, **REJECTION)), AttemptResult.ERROR, 502),
         (says(b"", close=True), AttemptResult.RESET, 502),
         (says(b"", abort=True), AttemptResult.RESET, 502),
         (says(b"HTTP/1.1 200 OK\r\nContent-Le", close=True), AttemptResult.RESET, 502),
@@ -98,7 +99,7 @@
             says(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"),
             AttemptResult.ERROR,
             502,
-        ),  # at its head
+        ),  # rejected at its head
         (says(CHUNKED + b"5\r\nframe\r\nzz\r\nframe\r\n0\r\n\r\n"), AttemptResult.ERROR, 502),
         (says(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000), AttemptResult.ERROR, 502),
         (says(b"HTTP/1.1 100 Continue\r\n\r\n" * 99 + answer()), AttemptResult.ERROR, 502),
@@ -107,6 +108,8 @@
     ],
 )
 def test_each_outcome(script: Script, result: AttemptResult, expected: int) -> None:
+    """A script of a server, the result of the attempt and the status that the client gets."""
+
     async def test() -> None:
         async with Server("s-1", script) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -124,11 +127,13 @@
 
 @pytest.mark.parametrize("how", ["reset", "close"])
 @pytest.mark.parametrize("head", [b"", b"Connection: close\r\n", b"Content-Length: 8\r\n", CODING])
-def test_an_answer_that_is_cut_is_no_whole_one_and_leaves_nothing_in_the_next(head: bytes, how: str) -> None:
-    """One with a length or in chunks is cut however its connection ends before its own end; one with neither
-    is whole at an orderly end, and cut by a reset."""
+def test_an_incomplete_response_is_a_fault_and_leaves_nothing_in_the_next_one(head: bytes, how: str) -> None:
+    """A response with a length or in chunks is incomplete if its connection ends first, in whichever way.
+
+    One with neither is complete at an orderly end of the connection, and incomplete after a reset.
+    """
     framed = head in (b"Content-Length: 8\r\n", CODING)
-    whole = how == "close" and not framed
+    is_complete = how == "close" and not framed
 
     async def cut(_: Message, writer: asyncio.StreamWriter) -> None:
         body = b"4\r\ncut!\r\n" if head == CODING else b"cut!"
@@ -146,27 +151,27 @@
         async with Server("s-1", cut) as one, Rig(configuration(one)) as rig:
             client = await rig.client()
             got = await client.ask(request("order"))
-            assert (status(got), got.body) == ((200, b"cut!") if whole else (502, b""))
+            assert (status(got), got.body) == ((200, b"cut!") if is_complete else (502, b""))
             async with Server("s-2") as other:
                 rig.node._list_came(parse_update({"version": 8, "full": False, "servers": [other.entry()]}))
-                while len(one.seen) < 2 or len(other.seen) < 2:  # until one goes there first
+                while len(one.seen) < 2 or len(other.seen) < 2:  # until one is sent to s-1 first
                     before = len(other.seen)
                     got = await client.ask(request())
                     by_other = len(other.seen) > before
                     assert (status(got), got.body) == (200, b"frame" if by_other else b"cut!")
-                    assert whole or by_other
+                    assert is_complete or by_other
             await until(lambda: not one.open)
             results = {
                 outcome.result for outcome in rig.spy.outcomes() if outcome.endpoint_id == hash_name("s-1")
             }
-            assert results == {AttemptResult.OK if whole else AttemptResult.RESET}
+            assert results == {AttemptResult.OK if is_complete else AttemptResult.RESET}
 
     run(test())
 
 
 UNFRAMED = {
     "plain": b"HTTP/1.1 200 OK\r\n\r\n",
-    "kept": b"HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n\r\n",
+    "keep-alive": b"HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n\r\n",
     "closed": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
     "old": b"HTTP/1.0 200 OK\r\n\r\n",
     "identity": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\n\r\n",
@@ -180,16 +185,16 @@
         ("close", b"frame", 200),
         ("close", b"x" * 65536, 200),
         ("close", b"x" * 65537, 502),
-        ("close", b"", 502),  # a server's 200 has a body: this is one that died behind the head
+        ("close", b"", 502),  # a 200 has a body: this server died after the head
         ("reset", b"", 502),
         ("reset", b"frame", 502),
-        ("silent", b"frame", 504),  # the node gives it up, and then it ends in order
+        ("silent", b"frame", 504),  # the attempt times out before the orderly end
     ],
 )
-def test_an_answer_with_no_length_is_whole_at_an_orderly_end_only(
+def test_a_response_without_length_is_complete_at_an_orderly_end_only(
     head: str, how: str, body: bytes, expected: int
 ) -> None:
-    """All were refused, though of those that come whole half at least have to be passed on."""
+    """A response with neither a length nor chunks is forwarded if its connection ends in order."""
 
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(UNFRAMED[head])
@@ -222,16 +227,16 @@
 
 @pytest.mark.parametrize("head", UNFRAMED)
 @pytest.mark.parametrize(("resets", "expected"), [(False, 200), (True, 502)])
-def test_a_reset_that_lies_with_the_kernel_behind_the_end_is_no_orderly_end(
+def test_an_end_with_a_reset_pending_in_the_kernel_is_not_orderly(
     head: str, resets: bool, expected: int
 ) -> None:
-    asked, go = Event(), Event()
+    request_received, go = Event(), Event()
 
     def serve(listening: socket.socket) -> None:
         connection, _ = listening.accept()
         with connection:
             connection.recv(1 << 16)
-            asked.set()
+            request_received.set()
             go.wait(PATIENCE)
             connection.sendall(UNFRAMED[head] + b"frame")
             connection.shutdown(socket.SHUT_WR)
@@ -247,16 +252,16 @@
             async with Rig(configuration(server)) as rig:
                 client = await rig.client()
                 client.writer.write(request("order"))
-                await until(asked.is_set)
+                await until(request_received.is_set)
                 go.set()
-                thread.join(PATIENCE)  # the loop, which is the node's, stands still meanwhile
+                thread.join(PATIENCE)  # blocks the node's event loop until both are with the kernel
                 got = await client.read()
                 assert (status(got), got.body) == (expected, b"" if resets else b"frame")
 
     run(test())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_request_whose_connection_is_refused_is_not_executed() -> None:
     async def test() -> None:
         async with Server("s-1") as server:
             server.stop()
@@ -265,15 +270,17 @@
                 got = await client.ask(request("order"))
                 assert status(got) == 503
                 assert [outcome.result for outcome in rig.spy.outcomes()] == [AttemptResult.CONNECT_FAILED]
-                # Told when to come back: the class's aim, up to what clients respect.
+                # The latency objective of the class, up to the longest that clients respect.
                 assert got.headers["retry-after"] == "1.500"
 
     run(test())
 
 
 class Unreachable:
-    """An address on loopback whose connections never come up: a listening socket with a full queue. One that
-    is not filled lets them come up, but takes little in."""
+    """A loopback address to which nothing can connect: a listening socket with a full backlog.
+
+    With `filled=False` connections are established, but the peer takes only a few bytes.
+    """
 
     def __init__(self, filled: bool = True) -> None:
         self._filled = filled
@@ -295,7 +302,7 @@
             one.close()
 
 
-def test_a_connection_that_never_comes_up_is_given_up_after_the_dial_time_out() -> None:
+def test_connecting_is_given_up_after_the_connect_timeout() -> None:
     async def test() -> None:
         server = Server("s-1")
         with Unreachable() as server.address:
@@ -309,7 +316,7 @@
     run(test())
 
 
-def test_a_server_that_drains_gets_nothing_that_waits_for_its_dial() -> None:
+def test_a_draining_server_gets_no_request_that_is_still_connecting() -> None:
     async def test() -> None:
         server = Server("s-1")
         with Unreachable() as server.address:
@@ -326,8 +333,8 @@
 
 
 @pytest.mark.parametrize("how", LEAVE)
-def test_a_dial_is_given_up_for_a_client_that_has_left(how: str) -> None:
-    """A close looks like the end of sending: the dial went on, and what it was for was sent on."""
+def test_connecting_is_given_up_for_a_client_that_disconnects(how: str) -> None:
+    """A closed connection of a client looks like one that has finished sending."""
 
     async def test() -> None:
         server = Server("s-1")
@@ -351,7 +358,7 @@
 
 
 @pytest.mark.parametrize("how", LEAVE)
-def test_a_request_that_waits_for_its_turn_is_given_up_with_its_client(how: str) -> None:
+def test_a_request_queued_behind_its_key_is_given_up_with_its_client(how: str) -> None:
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -380,33 +387,35 @@
     run(test())
 
 
-def test_no_answer_is_a_time_out_and_nothing_follows_the_final_answer() -> None:
-    async def late(_: Message, writer: asyncio.StreamWriter) -> None:
-        gone.set()
+def test_no_response_is_a_timeout_and_the_client_gets_one_response() -> None:
+    async def responds_after_deadline(_: Message, writer: asyncio.StreamWriter) -> None:
+        received.set()
         await asyncio.sleep(0.4)
         writer.write(answer())
 
-    gone = asyncio.Event()
+    received = asyncio.Event()
 
     async def test() -> None:
-        async with Server("s-1", late) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", responds_after_deadline) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             assert status(await client.ask(request("order", X_Deadline="200m"))) in (502, 504)
             assert [outcome.result for outcome in rig.spy.outcomes()] == [AttemptResult.TIMEOUT]
             await until(lambda: server.open == 0)  # its connection is closed, never pooled
-            # The connection is still good, and what comes next is the next request's.
+            # The client's connection still carries requests.
             assert status(await client.ask(request(target="/nowhere"))) == 404
             assert not rig.node._open
 
     run(test())
 
 
-def test_no_attempt_times_out_before_its_time() -> None:
-    """The loop rounds to milliseconds. An attempt that ended a little early left the module time for another
-    one at each further server, which had none and looked like a failure of that server."""
+def test_no_attempt_times_out_early() -> None:
+    """The event loop rounds to milliseconds.
+
+    An attempt that ended a little early would leave time for retries too short for any server to answer.
+    """
     limits = [20_000_000 + 100_000 * tenth for tenth in range(1, 10)]
     sent: dict[int, int] = {}
-    took: dict[int, int] = {}  # by the clock: what the node tells leaves out when this machine stands still
+    took: dict[int, int] = {}  # by the clock: the elapsed time that the node reports leaves out holds
 
     def decide(event: api.Event) -> list[api.Action] | None:
         if isinstance(event, api.Request):
@@ -430,17 +439,15 @@
 
 
 @pytest.mark.parametrize("among_sockets", [False, True])
-def test_a_node_that_was_held_up_does_not_take_that_for_the_servers_time(among_sockets: bool) -> None:
-    """A node was stopped for 0.2 s as its first clients came. Where that fell between two sockets the loop
-    went on with its timers, and answers that had long come were given up unread; the others counted as slow.
-    Next to all that came was refused for seconds."""
-    held = 0.5
+def test_a_hold_of_the_node_does_not_count_as_response_time(among_sockets: bool) -> None:
+    """After a hold the loop may run its timers ahead of its sockets, where responses are unread."""
+    hold_s = 0.5
     inner, outer = socket.socketpair()
 
     def hold_up(descriptor: int) -> None:
         inner.recv(1)
         os.write(descriptor, answer())
-        sleep(held)
+        sleep(hold_s)
 
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
         descriptor = writer.get_extra_info("socket").fileno()
@@ -452,20 +459,20 @@
 
     async def test() -> None:
         async with Server("s-1", script) as server, Rig(configuration(server)) as rig:
-            decided = [api.Forward(1, hash_name("s-1"), int(held / 2 * 1e9))]
+            decided = [api.Forward(1, hash_name("s-1"), int(hold_s / 2 * 1e9))]
             rig.spy.instead = lambda event: decided if isinstance(event, api.Request) else None
             client = await rig.client()
             assert status(await client.ask(request())) == 200
             (outcome,) = rig.spy.outcomes()
             assert outcome.result is AttemptResult.OK
-            assert outcome.elapsed_ns < held / 2 * 1e9
+            assert outcome.elapsed_ns < hold_s / 2 * 1e9
             asyncio.get_running_loop().remove_reader(inner)
 
     with inner, outer:
         run(test())
 
 
-def test_a_request_that_the_module_keeps_is_failed_at_its_deadline() -> None:
+def test_a_request_that_the_policy_never_forwards_fails_at_its_deadline() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             rig.spy.instead = lambda event: [] if isinstance(event, api.Request) else None
@@ -477,7 +484,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_is_told_once_and_its_attempt_ends() -> None:
+def test_a_client_that_disconnects_is_reported_once_and_its_attempt_ends() -> None:
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -494,7 +501,7 @@
     run(test())
 
 
-def test_a_failed_attempt_is_followed_by_one_at_the_other_server() -> None:
+def test_a_failed_attempt_is_retried_at_the_other_server() -> None:
     async def test() -> None:
         async with (
             Server("s-1", says(b"", abort=True)) as bad,
@@ -511,7 +518,7 @@
     run(test())
 
 
-def test_a_request_that_a_server_rejects_is_not_sent_to_the_others_nor_blamed_on_it() -> None:
+def test_a_client_error_is_not_retried_and_no_failure_of_the_server() -> None:
     async def test() -> None:
         async with (
             Server("s-1", says(answer(400))) as one,
@@ -540,7 +547,7 @@
         "load_share=0.5,depth=1," + "x" * 2000,
     ],
 )
-def test_a_load_report_that_is_none_is_left_out(load: str) -> None:
+def test_an_invalid_load_report_is_left_out(load: str) -> None:
     async def test() -> None:
         async with Server("s-1", says(answer(X_Load=load))) as server, Rig(configuration(server)) as rig:
             assert status(await (await rig.client()).ask(request())) == 200
@@ -549,7 +556,7 @@
     run(test())
 
 
-def test_a_second_answer_to_one_request_ends_the_connection_and_reaches_nobody() -> None:
+def test_a_second_response_to_one_request_closes_the_connection_and_reaches_nobody() -> None:
     async def test() -> None:
         async with (
             Server("s-1", says(answer() + answer(body=b"other"))) as server,
@@ -564,11 +571,13 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "time-out", "gone", "ends"])
-def test_an_attempt_that_ends_before_the_last_byte_is_written_never_ran_nor_will(
+def test_an_attempt_that_ends_before_its_last_byte_is_written_is_never_executed(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The server takes nothing in: the request stays partly in the node, as its attempt ends. What was with
-    the node is not written after that, though the server then reads all that there is."""
+    """The server reads nothing, so that a part of the request stays in the node's write buffer.
+
+    That part is not written after the attempt has ended, though the server then reads.
+    """
     made = ServerConnection.connection_made
 
     def with_small_buffer(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
@@ -614,7 +623,7 @@
     run(test())
 
 
-def test_an_answer_without_end_is_a_time_out() -> None:
+def test_an_endless_response_is_a_timeout() -> None:
     async def drips(_: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(CHUNKED)
         while not writer.is_closing():
@@ -636,19 +645,19 @@
     ("bound", "result"),
     [("expires_at_ns", AttemptResult.CONNECT_FAILED), ("write_deadline_ns", AttemptResult.NOT_SENT)],
 )
-def test_a_dial_that_comes_up_as_its_time_is_over_carries_nothing(
+def test_a_connection_established_after_the_time_limit_carries_no_request(
     bound: str, result: AttemptResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made = ServerConnection.connection_made
 
-    def late(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
+    def expires(self: ServerConnection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         (attempt,) = self._pool.connecting
         setattr(attempt, bound, 1)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            monkeypatch.setattr(ServerConnection, "connection_made", late)
+            monkeypatch.setattr(ServerConnection, "connection_made", expires)
             client = await rig.client()
             assert status(await client.ask(request("order"))) == 503
             assert [one.result for one in rig.spy.outcomes()] == [result]
@@ -659,11 +668,13 @@
 
 @pytest.mark.parametrize(("group", "expected"), [("all", 503), ("zone", 502)])
 @pytest.mark.parametrize("stuck", ["dial", "write"])
-def test_a_keyed_repeat_is_given_up_where_it_would_arrive_after_its_window(
+def test_a_retry_with_a_key_is_given_up_where_it_would_arrive_after_the_window(
     stuck: str, group: str, expected: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was decided on within the window, but its connection came up, or took its last bytes, only when the
-    servers had forgotten the key: the request ran twice."""
+    """A retry that is decided within the deduplication window but written after it would run twice.
+
+    Connecting, or writing the last bytes, takes until servers have forgotten the idempotency key.
+    """
     made = ServerConnection.connection_made
     window = 1.0  # s
     listed = asyncio.Event()
@@ -701,7 +712,7 @@
                     listed.set()
                     await until(lambda: rig.spy.outcomes() and rig.node._pools.sockets)
                     await asyncio.sleep(window)
-                    # From now on it is there: a dial comes up as the kernel tries again, after a second.
+                    # Connects succeed from now on: the kernel retries after a second.
                     accepting = await asyncio.start_server(reads, sock=unreachable.listening, limit=1 << 20)
                     assert status(await client.read()) == expected
                     results = [one.result for one in rig.spy.outcomes()]
@@ -714,7 +725,7 @@
     run(test())
 
 
-def test_an_answer_that_comes_as_the_deadline_falls_is_no_second_one() -> None:
+def test_a_response_that_arrives_at_the_deadline_is_no_second_one() -> None:
     writers: list[asyncio.StreamWriter] = []
 
     async def keeps(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -729,7 +740,7 @@
             await until(lambda: server.seen)
             (open_request,) = rig.node._open.values()
             os.write(writers[0].get_extra_info("socket").fileno(), answer(body=b"first"))
-            rig.node._overdue(open_request)  # no turn of the loop since then
+            rig.node._overdue(open_request)  # in the same iteration of the loop
             assert status(await client.read()) == 504
             assert (await client.ask(request(body=b"next"))).body == b"next"
             assert [one.result for one in rig.spy.outcomes()] == [AttemptResult.CANCELLED, AttemptResult.OK]
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail on the node's own machine: no other party is blamed, and nothing spins."""
+"""System calls that fail on the node's own machine: no server is blamed, and retries back off."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @pytest.mark.parametrize("name", ACCEPT_FAILURES)
-def test_an_accept_that_goes_on_failing_is_tried_again_with_pauses(name: str, tmp_path: Path) -> None:
-    """The listening socket stays readable: without a pause it was tried 16 times a turn of the loop."""
+def test_a_failing_accept_is_retried_with_backoff(name: str, tmp_path: Path) -> None:
+    """The listening socket stays readable, so that a retry without backoff would use all CPU time."""
 
     async def test() -> None:
         faults = Faults(tmp_path / "faults")
@@ -55,25 +55,25 @@
     "ENETUNREACH",
     "EHOSTUNREACH",
 )
-ONCE = says(answer(Connection="close"))  # each request needs a dial
+ONCE = says(answer(Connection="close"))  # each request needs a new connection
 
 
-async def ask_steadily(node: Program, span: float, pace: float) -> Counter[int]:
-    """Statuses of one request each `pace` s, each on a connection of its own."""
+async def send_steadily(node: Program, span: float, interval: float) -> Counter[int]:
+    """Return the statuses of one request each `interval` s, each on a connection of its own."""
 
     async def ask(number: int) -> int:
-        await asyncio.sleep(number * pace)
+        await asyncio.sleep(number * interval)
         client = await node.client()
         got = status(await client.ask(request()))
         client.writer.close()
         return got
 
-    return Counter(await asyncio.gather(*(ask(number) for number in range(int(span / pace)))))
+    return Counter(await asyncio.gather(*(ask(number) for number in range(int(span / interval)))))
 
 
 @asynccontextmanager
 async def bed(folder: Path) -> AsyncIterator[tuple[Faults, list[Server], Program]]:
-    """A node whose calls fail on command, before four servers."""
+    """Start a node whose system calls fail on command, and four servers."""
     faults = Faults(folder / "faults")
     async with AsyncExitStack() as stack:
         servers = [await stack.enter_async_context(Server(f"s-{n}", ONCE)) for n in range(4)]
@@ -82,21 +82,20 @@
 
 
 @pytest.mark.parametrize("name", CONNECT_FAILURES)
-def test_dials_that_fail_on_this_machine_wait_and_blame_no_server(name: str, tmp_path: Path) -> None:
-    """Each was put down to its server, or spent the retries on the spot: requests were refused though there
-    was time left."""
+def test_connects_that_fail_locally_back_off_and_eject_no_server(name: str, tmp_path: Path) -> None:
+    """Local faults neither eject a server nor use up the retries of a request."""
 
     async def test() -> None:
         async with bed(tmp_path) as (faults, servers, node):
-            assert (await ask_steadily(node, 1.2, 0.005)).keys() == {200}  # the breaker has its measure
-            load = asyncio.create_task(ask_steadily(node, 1.0, 0.005))
+            assert (await send_steadily(node, 1.2, 0.005)).keys() == {200}  # samples for the breaker
+            load = asyncio.create_task(send_steadily(node, 1.0, 0.005))
             await asyncio.sleep(0.2)
             faults.set(connect_errno=getattr(errno, name))
             await asyncio.sleep(0.5)
             faults.set(connect_errno=0)
             assert await load == {200: 200}
             before = [len(server.seen) for server in servers]
-            assert (await ask_steadily(node, 0.5, 0.005)).keys() == {200}
+            assert (await send_steadily(node, 0.5, 0.005)).keys() == {200}
             got = [len(server.seen) - count for server, count in zip(servers, before, strict=True)]
             assert min(got) > 10  # none is ejected
 
@@ -104,14 +103,14 @@
 
 
 @pytest.mark.parametrize("name", ["ENETUNREACH", "EHOSTUNREACH", "ECONNREFUSED"])
-def test_a_server_that_alone_is_out_of_reach_is_left_for_the_others(name: str, tmp_path: Path) -> None:
+def test_requests_to_a_single_unreachable_server_go_to_the_others(name: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with bed(tmp_path) as (faults, servers, node):
             port = int(servers[0].address.rpartition(":")[2])
             faults.set(connect_errno=getattr(errno, name), connect_port=port)
             begun = asyncio.get_running_loop().time()
-            assert (await ask_steadily(node, 1.0, 0.005)).keys() == {200}
-            assert asyncio.get_running_loop().time() - begun < 1.5  # nobody waits for it
+            assert (await send_steadily(node, 1.0, 0.005)).keys() == {200}
+            assert asyncio.get_running_loop().time() - begun < 1.5  # no request waits for it
             assert not servers[0].seen
 
     run(test())
