--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -234,7 +234,7 @@
                 await asyncio.sleep(0)
                 left = [type(one).__name__ for one in gc.get_objects()]
                 assert left.count("HttpRequestParser") == left.count("HttpResponseParser") == 0
-                assert left.count("ClientConnection") + left.count("Connection") <= 2
+                assert left.count("ClientConnection") + left.count(ServerConnection.__name__) <= 2
             finally:
                 gc.enable()
 
