--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -1,66 +1,87 @@
-"""Keys that are more than one endpoint's work, by this node's own arrivals."""
+"""Detection of hot keys: those that are more than one endpoint's work, by this node's own requests."""
 
 from __future__ import annotations
 
 from heapq import heapify, heappop, heappush
 from math import ceil
 
-HOT = 0.5  # of a server's fair share of this node's requests: a key above it goes to more than two
-HOT_LEAST = 2  # requests; fewer say nothing about a key's share
-KEY_MEMORY = 6.0  # requests for each server are remembered: at a small share of traffic that takes long
-KEY_LEAST = 0.5  # requests; a key with fewer is forgotten
-MOST_SCALE = 1e100
+HOT_LOAD_RATIO = 0.5
+"""A key above this multiple of an endpoint's mean load is spread over more than the usual two endpoints."""
+MIN_HOT_REQUESTS = 2
+MEMORY_REQUESTS = 6.0
+"""Requests that are remembered for each endpoint; older ones decay."""
+MIN_REMEMBERED_REQUESTS = 0.5
+"""A key is forgotten when its decayed count falls below this."""
+MAX_SCALE_FACTOR = 1e100
+"""The scale is reset above this, far below the largest float."""
 
 
 class HotKeyTracker:
-    """Arrivals by key, older ones fading, and the keys that are more than a server's work. Counts are kept by
-    forward decay (Cormode, Shkapenyuk, Srivastava and Xu, ICDE 2009): an arrival counts for more the later it
-    comes, so that nothing has to be done to the counts of keys that have none."""
+    """Decayed request counts by key, and the number of endpoints that each hot key is spread over.
+
+    Counts are kept by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, ICDE 2009): the weight of a new
+    request grows instead of all older counts shrinking, so a key without requests costs nothing.
+    """
 
     def __init__(self) -> None:
-        self.fan_out: dict[int, int] = {}  # hot keys: how many servers each goes to
-        self._counts: dict[int, float] = {}  # times the scale
-        self._scale = 1.0  # what an arrival counts for now
+        """Start without any requests."""
+        self.fan_out: dict[int, int] = {}  # by hot key: endpoints that it is spread over
+        self._counts: dict[int, float] = {}  # by key; times the scale, as all counts below
+        self._scale = 1.0  # weight of a new request
         self._total = 0.0
-        self._fewest: list[tuple[float, int]] = []  # a heap of all keys by a count that each had
-        self._risen: dict[int, None] = {}  # keys that may be hot by arrivals since the last update
+        self._count_heap: list[tuple[float, int]] = []  # each key once, with a present or earlier count
+        self._repeated_keys: dict[int, None] = {}  # with more than one request, since the last update
 
     def record(self, key: int) -> None:
+        """Count a request with this key."""
         count = self._counts.get(key)
         if count is None:
             self._counts[key] = self._scale
-            heappush(self._fewest, (self._scale, key))
+            heappush(self._count_heap, (self._scale, key))
         else:
             self._counts[key] = count + self._scale
-            self._risen[key] = None
+            self._repeated_keys[key] = None
         self._total += self._scale
 
-    def update(self, servers: int) -> None:
-        """A key that is more than a server's work goes to as many as it needs: all nodes send it to the
-        same two, and each node's own load there is too small to tell."""
+    def update(self, endpoint_count: int) -> None:
+        """Find the hot keys, then let the counts decay to what the memory for so many endpoints holds."""
         total = self._total / self._scale
-        fair = HOT * total / max(1, servers)
-        hot = ((key, self._counts.get(key, 0.0) / self._scale) for key in {**self.fan_out, **self._risen})
-        self.fan_out = {
-            key: max(1, min(servers, 1 + ceil(count / fair)))
-            for key, count in hot
-            if count >= HOT_LEAST and count > fair
-        }
-        self._risen.clear()
-        keep = min(1.0, KEY_MEMORY * servers / max(1.0, total))
-        if not keep:
-            self._counts, self._fewest, self._scale, self._total = {}, [], 1.0, 0.0
-        self._scale /= keep or 1.0
-        least = KEY_LEAST * self._scale
-        while self._fewest and self._fewest[0][0] < least:
-            key = heappop(self._fewest)[1]
-            if (count := self._counts[key]) >= least:
-                heappush(self._fewest, (count, key))
+        self._update_fan_out(endpoint_count, total)
+        decay_ratio = min(1.0, MEMORY_REQUESTS * endpoint_count / max(1.0, total))
+        if decay_ratio:
+            self._scale /= decay_ratio
+        else:
+            self._counts, self._count_heap, self._scale, self._total = {}, [], 1.0, 0.0
+        self._forget_rare_keys()
+        if self._scale > MAX_SCALE_FACTOR:
+            self._reset_scale()
+
+    def _update_fan_out(self, endpoint_count: int, total: float) -> None:
+        """Spread each hot key over as many endpoints as its requests are the work of, and one more."""
+        hot_above = HOT_LOAD_RATIO * total / max(1, endpoint_count)
+        fan_out: dict[int, int] = {}
+        for key in {**self.fan_out, **self._repeated_keys}:
+            count = self._counts.get(key, 0.0) / self._scale
+            if count >= MIN_HOT_REQUESTS and count > hot_above:
+                fan_out[key] = max(1, min(endpoint_count, 1 + ceil(count / hot_above)))
+        self.fan_out = fan_out
+        self._repeated_keys.clear()
+
+    def _forget_rare_keys(self) -> None:
+        min_count = MIN_REMEMBERED_REQUESTS * self._scale
+        heap = self._count_heap
+        while heap and heap[0][0] < min_count:
+            key = heappop(heap)[1]
+            count = self._counts[key]
+            if count >= min_count:
+                heappush(heap, (count, key))
             else:
                 del self._counts[key]
                 self._total -= count
-        if self._scale > MOST_SCALE:  # once in hours: the numbers would pass a float's range
-            self._counts = {key: count / self._scale for key, count in self._counts.items()}
-            self._fewest = [(count, key) for key, count in self._counts.items()]
-            heapify(self._fewest)
-            self._scale, self._total = 1.0, sum(self._counts.values())
+
+    def _reset_scale(self) -> None:
+        """Divide all counts by the scale; without this they would overflow after some hours."""
+        self._counts = {key: count / self._scale for key, count in self._counts.items()}
+        self._count_heap = [(count, key) for key, count in self._counts.items()]
+        heapify(self._count_heap)
+        self._scale, self._total = 1.0, sum(self._counts.values())
--- a/moleport/policy/zones.py
+++ b/moleport/policy/zones.py
@@ -1,64 +1,87 @@
-"""The endpoints that a key may go to, with those of the node's own zone first as far as they can carry it."""
+"""Zone-aware choice of candidates: endpoints of the node's own zone, for the keys that they can carry."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Generic, TypeVar
 
-from moleport.policy.hashing import HASH_RATIO_SCALE, SlotGrid, mix64, to_weight_units
+from moleport.policy.hashing import (
+    HASH_RATIO_SCALE,
+    HASH_RATIO_SHIFT_BITS,
+    SlotGrid,
+    mix64,
+    to_weight_units,
+)
 
 T = TypeVar("T")
 
 
 class CandidateIndex(Generic[T]):
-    """All servers, and those of the own zone for the part of the keys that they can carry."""
+    """The endpoint that a key leads to, among all endpoints or among those of the node's own zone.
+
+    The own zone takes the fraction of keys W * Z / T, at most 1: W is its weight, T that of all zones, and Z
+    the number of zones. It assumes that each zone has an equal part of the traffic, so that a zone that lost
+    endpoints is not overloaded by its own nodes.
+    """
 
     def __init__(self, zone: int | None) -> None:
-        self._zone = zone
-        self._all: SlotGrid[T] = SlotGrid()
-        self._near: SlotGrid[T] = SlotGrid()
-        self._zones: dict[bytes, int] = {}  # of each server
-        self._counts: dict[int, int] = {}  # servers of each zone
-        self._own = 0  # part of the keys that the own zone can carry, of FULL_PART
+        """Start without endpoints, on a node of this zone; None: it is not known."""
+        self._own_zone = zone
+        self._all_zones_grid: SlotGrid[T] = SlotGrid()
+        self._own_zone_grid: SlotGrid[T] = SlotGrid()
+        self._zones: dict[bytes, int] = {}  # by endpoint
+        self._endpoint_counts: dict[int, int] = {}  # by zone
+        self._own_zone_ratio = 0  # of HASH_RATIO_SCALE: the fraction of keys that the own zone takes
 
     def __len__(self) -> int:
-        return len(self._all)
+        """Return the number of endpoints."""
+        return len(self._all_zones_grid)
 
     def has_equal_weights(self) -> bool:
-        """All have the same weight."""
-        return self._all.has_equal_weights()
+        """Return whether all endpoints have the same weight."""
+        return self._all_zones_grid.has_equal_weights()
 
     def update(self, changes: Mapping[bytes, tuple[int, float, T] | None]) -> None:
-        """Sets zone, weight and value of the servers named; None: takes it out."""
-        near: dict[bytes, tuple[int, T] | None] = {}
-        everywhere: dict[bytes, tuple[int, T] | None] = {}
-        zones, counts, own_zone = self._zones, self._counts, self._zone
+        """Set zone, weight and value of the endpoints named; None removes an endpoint."""
+        own_zone_changes: dict[bytes, tuple[int, T] | None] = {}
+        all_changes: dict[bytes, tuple[int, T] | None] = {}
+        zones, counts, own_zone = self._zones, self._endpoint_counts, self._own_zone
         for name, change in changes.items():
-            before = zones.pop(name, None)
-            if before is not None:
-                counts[before] -= 1
-                if not counts[before]:
-                    del counts[before]
-                if before == own_zone:
-                    near[name] = None
+            previous_zone = zones.pop(name, None)
+            if previous_zone is not None:
+                counts[previous_zone] -= 1
+                if not counts[previous_zone]:
+                    del counts[previous_zone]
+                if previous_zone == own_zone:
+                    own_zone_changes[name] = None
             if change is None:
-                everywhere[name] = None
+                all_changes[name] = None
                 continue
-            zone, weight, server = change
+            zone, weight, value = change
             zones[name] = zone
             counts[zone] = counts.get(zone, 0) + 1
-            everywhere[name] = entry = (to_weight_units(weight), server)
+            entry = (to_weight_units(weight), value)
+            all_changes[name] = entry
             if zone == own_zone:
-                near[name] = entry
-        self._all.update(everywhere)
-        self._near.update(near)
-        # Of a zone's traffic, were it alike in all: one that lost servers is not crowded by its own nodes.
-        part = self._near.total * len(self._counts) * HASH_RATIO_SCALE
-        self._own = min(HASH_RATIO_SCALE, part // max(1, self._all.total))
+                own_zone_changes[name] = entry
+        self._all_zones_grid.update(all_changes)
+        self._own_zone_grid.update(own_zone_changes)
+        self._update_own_zone_ratio()
+
+    def find(self, key_hash: int, prefer_own_zone: bool) -> T | None:
+        """Return the endpoint that a 64-bit hash of a key leads to; None if there is none.
+
+        With `prefer_own_zone` it is one of the own zone, if the key is among those that the zone takes.
+        """
+        if prefer_own_zone and (
+            self._own_zone_ratio == HASH_RATIO_SCALE
+            or mix64(key_hash) >> HASH_RATIO_SHIFT_BITS < self._own_zone_ratio
+        ):
+            return self._own_zone_grid.find(key_hash)
+        return self._all_zones_grid.find(key_hash)
 
-    def find(self, place: int, near: bool) -> T | None:
-        """The server that a hash of 64 bits leads to, where near is asked for one of the own zone if that can
-        carry this key. None if there is no server."""
-        if near and (self._own == HASH_RATIO_SCALE or mix64(place) >> 44 < self._own):
-            return self._near.find(place)
-        return self._all.find(place)
+    def _update_own_zone_ratio(self) -> None:
+        total_units = max(1, self._all_zones_grid.total_units)
+        zone_count = len(self._endpoint_counts)
+        ratio = self._own_zone_grid.total_units * zone_count * HASH_RATIO_SCALE // total_units
+        self._own_zone_ratio = min(HASH_RATIO_SCALE, ratio)
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -69,8 +69,8 @@
     """Part of the keys that each server gets, against what its weight says."""
     got = Counter(of.find(mix64(key)) for key in range(keys))
     assert None not in got
-    servers = of._servers.values()
-    return {name: got[name] / keys * of.total / units for units, name in servers}
+    servers = of._members.values()
+    return {name: got[name] / keys * of.total_units / units for units, name in servers}
 
 
 # In the module.
@@ -222,7 +222,7 @@
 def test_servers_have_keys_by_weight(weights: tuple[float, ...]) -> None:
     made = grid({number: weights[number % len(weights)] for number in range(24)})
     got = shares(made, 60_000)
-    lightest = min(units for units, _ in made._servers.values()) / made.total
+    lightest = min(units for units, _ in made._members.values()) / made.total_units
     slack = 0.15 + 4 / (60_000 * lightest) ** 0.5  # by chance of the sample
     assert 1 - slack < min(got.values()) and max(got.values()) < 1 + slack
 
@@ -318,12 +318,12 @@
         made.update({name.to_bytes(6, "big"): None if weight is None else (to_weight_units(weight), name)})
         claims = [claim for of_one in made._claims.values() for claim in of_one]
         mask = made._mask
-        assert len(made._slots) == len(claims) == made._held
-        assert sum(made._marks[: mask + 1]) == len(claims)
+        assert len(made._slots) == len(claims) == made._claim_count
+        assert sum(made._occupied[: mask + 1]) == len(claims)
         for claim in claims:
-            assert made._slots[claim.slot(claim.tries, mask)] is claim
-            for tries in range(claim.tries):
+            assert made._slots[claim.slot(claim.probe, mask)] is claim
+            for tries in range(claim.probe):
                 at = claim.slot(tries, mask)
-                assert made._slots[at].rank < claim.rank and claim in made._passed[at]
-        assert sum(map(len, made._passed.values())) == sum(claim.tries for claim in claims)
-        assert made.total == sum(units for units, _ in made._servers.values())
+                assert made._slots[at].rank < claim.rank and claim in made._displaced[at]
+        assert sum(map(len, made._displaced.values())) == sum(claim.probe for claim in claims)
+        assert made.total_units == sum(units for units, _ in made._members.values())
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -176,7 +176,7 @@
         if key % 3 == 0:
             hitters.update(1)
     assert hitters._scale < 1e101 and hitters._total / hitters._scale < 10
-    assert len(hitters._fewest) == len(hitters._counts)
+    assert len(hitters._count_heap) == len(hitters._counts)
 
 
 def test_the_heap_of_the_ejected_does_not_grow_with_time() -> None:
