--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -1,4 +1,4 @@
-"""The servers a key may go to: reach, shares, agreement of nodes, and what a change of the list moves."""
+"""The endpoints that keys lead to: how evenly, alike on all nodes, and what a change of the list moves."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from moleport.policy.zones import CandidateIndex
 
 
-def operations(what: Callable[[], object]) -> int:
-    """Steps of the interpreter that a call takes: what it costs, on any machine and under any load."""
+def operations(call: Callable[[], object]) -> int:
+    """Count the bytecodes that a call executes: its cost, independent of the machine and its load."""
     count = 0
 
-    def trace(frame: FrameType, event: str, _: Any) -> Any:
+    def trace(frame: FrameType, event: str, _argument: Any) -> Any:
         nonlocal count
         frame.f_trace_opcodes = True
         count += event == "opcode"
@@ -37,54 +37,58 @@
     before = sys.gettrace()
     sys.settrace(trace)
     try:
-        what()
+        call()
     finally:
         sys.settrace(before)
     return count
 
 
 def in_zones(number: int, zones: int = 9) -> api.Endpoint:
+    """Return an endpoint; zones go round robin."""
     return server(number)._replace(zone=number % zones)
 
 
 def fleet(count: int, **changes: object) -> Node:
+    """Return a node that knows this many ready endpoints in nine zones."""
     node = Node(settings(**changes), servers=0)
     node.tell(whole(*(in_zones(number) for number in range(count))))
     return node
 
 
 def delta(*servers: api.Endpoint) -> api.EndpointUpdate:
+    """Return an update of changed entries."""
     return api.EndpointUpdate(EndpointUpdateKind.DELTA, servers)
 
 
 def grid(weights: dict[int, float]) -> SlotGrid[int]:
-    made: SlotGrid[int] = SlotGrid()
-    made.update(
+    """Return a grid of these weights by number."""
+    slot_grid: SlotGrid[int] = SlotGrid()
+    slot_grid.update(
         {name.to_bytes(6, "big"): (to_weight_units(weight), name) for name, weight in weights.items()}
     )
-    return made
+    return slot_grid
 
 
-def shares(of: SlotGrid[int], keys: int) -> dict[int, float]:
-    """Part of the keys that each server gets, against what its weight says."""
-    got = Counter(of.find(mix64(key)) for key in range(keys))
+def relative_loads(slot_grid: SlotGrid[int], key_count: int) -> dict[int, float]:
+    """Return for each number its fraction of the keys, divided by its fraction of the weight."""
+    got = Counter(slot_grid.find(mix64(key)) for key in range(key_count))
     assert None not in got
-    servers = of._members.values()
-    return {name: got[name] / keys * of.total_units / units for units, name in servers}
+    members = slot_grid._members.values()
+    return {name: got[name] / key_count * slot_grid.total_units / units for units, name in members}
 
 
-# In the module.
+# Through the decision module.
 
 
-def test_every_server_of_a_long_list_gets_keys() -> None:
-    """A table of 2,039 places left the servers without any that came after these."""
+def test_every_endpoint_of_a_long_list_gets_keys() -> None:
+    """Guards against a hash table with fewer slots than the list has endpoints."""
     node = fleet(3000)
     got = {node.serve(mix64(key) | 1) for key in range(45_000)}
     assert len(got) == 3000
 
 
-def test_a_change_costs_what_it_changes_and_not_the_list() -> None:
-    """Each change filled two tables anew, and the loop stood still meanwhile."""
+def test_the_cost_of_a_change_does_not_grow_with_the_list() -> None:
+    """Guards against a rebuild at each change, which would block the event loop."""
     costs = {}
     for count in (100, 3000):
         node = fleet(count, zone=0)
@@ -100,20 +104,23 @@
     assert max(max(of_one) for of_one in costs.values()) < 5000
 
 
-def test_a_whole_list_that_changes_one_server_costs_little_more_than_reading_it() -> None:
+def test_a_snapshot_that_changes_one_endpoint_is_cheap() -> None:
+    """Its cost is little more than reading the entries."""
     node = fleet(2000, zone=0)
     entries = [in_zones(number) for number in range(2000)]
     assert operations(lambda: node.tell(whole(*entries[1:]))) < 100 * 2000
 
 
-def test_a_request_that_finds_only_full_servers_does_not_look_at_all_of_them() -> None:
+def test_a_request_in_a_full_fleet_does_not_check_every_endpoint() -> None:
+    """The search for an endpoint with free capacity is bounded."""
     node = fleet(1500)
     for backend in node.balancer._backends.values():
         backend.fullness[0] = 1.0
     assert operations(lambda: node.ask(0, 7)) < 25_000
 
 
-def test_nodes_agree_on_a_key_whatever_led_to_their_list() -> None:
+def test_nodes_with_the_same_list_agree_on_keys() -> None:
+    """The updates that led to the list make no difference."""
     new = fleet(40, zone=1)
     old = Node(settings(zone=1), servers=0, seed=7)
     for number in Random(3).sample(range(80), 80):
@@ -122,8 +129,8 @@
     assert [new.serve(key) for key in range(1, 400)] == [old.serve(key) for key in range(1, 400)]
 
 
-def test_the_choice_is_alike_in_each_process() -> None:
-    """The order of a set of ids differs from one process to the next."""
+def test_the_choice_does_not_depend_on_the_process() -> None:
+    """Guards against iterating over a set, whose order differs between processes."""
     program = (
         "from test_candidates import *\n"
         "node = fleet(300, zone=2)\n"
@@ -131,7 +138,7 @@
         "print([node.serve(key) for key in range(1, 500)])\n"
     )
     root = Path(__file__).parent.parent
-    said = [
+    outputs = [
         subprocess.run(
             [sys.executable, "-c", program],
             capture_output=True,
@@ -141,17 +148,18 @@
         ).stdout
         for seed in ("1", "2")
     ]
-    assert said[0] == said[1]
+    assert outputs[0] == outputs[1]
 
 
-def test_the_first_server_of_a_key_is_of_the_own_zone() -> None:
+def test_the_first_endpoint_of_a_key_is_in_the_own_zone() -> None:
+    """Each zone can carry its keys."""
     node = fleet(900, zone=4)
     got = {node.serve(mix64(key) | 1) for key in range(2000)}
     assert {int.from_bytes(name or b"", "big") % 9 for name in got} == {4}
 
 
-def test_a_zone_that_lost_servers_keeps_the_part_that_it_can_carry() -> None:
-    """A half of its servers left, in nine zones: it carries nine tenths of nine seventeenths."""
+def test_a_zone_that_lost_endpoints_takes_only_the_keys_that_it_can_carry() -> None:
+    """With half of its endpoints, one of nine zones takes 50 * 9 / 850 of the keys."""
     node = fleet(900, zone=4)
     node.tell(delta(*(in_zones(n)._replace(state=EndpointState.REMOVED) for n in range(4, 450, 9))))
     got = Counter(int.from_bytes(node.serve(mix64(key) | 1) or b"", "big") % 9 == 4 for key in range(4000))
@@ -168,32 +176,35 @@
         (1e308, 1e308),
     ],
 )
-def test_weights_that_make_no_sense_crash_nothing_and_leave_all_servers_keys_or_trials(
+def test_invalid_and_extreme_weights_are_tolerated(
     weights: tuple[float, ...],
 ) -> None:
+    """Requests are forwarded, and updates and report-based weights go on."""
     node = Node(settings(zone=0, load_report_fields=("utilization",)), servers=0)
     node.tell(
         whole(*(server(n)._replace(weight=weights[n % len(weights)], hardware_type=n % 2) for n in range(24)))
     )
     for kind in node.balancer._kinds.values():
         kind.share = 0.1
-    for turn in range(3):
+    for repetition in range(3):
         for key in range(1, 200):
-            send = node.ask(0, key + 1000 * turn)[-1]
+            send = node.ask(0, key + 1000 * repetition)[-1]
             if isinstance(send, api.Forward):
                 node.end(send, AttemptResult.OK, report=(0.9,))
         node.wait(SECOND)
     assert node.serve(5) is not None
 
 
-def test_a_doubled_id_counts_once_as_its_last_entry_says() -> None:
+def test_the_last_of_two_entries_with_one_id_holds() -> None:
+    """The list holds each id once."""
     node = Node(settings(), servers=0)
     node.tell(whole(server(1), server(2), server(2, EndpointState.DRAINING), server(3), server(3)))
     assert {node.serve(key) for key in range(1, 100)} == {server(1).id, server(3).id}
     assert len(node.balancer._ready) == 2
 
 
-def test_a_list_that_shrinks_to_nothing_comes_back_as_it_was() -> None:
+def test_an_emptied_list_is_restored_with_the_same_choices() -> None:
+    """Requests are rejected meanwhile."""
     node = fleet(40, zone=1)
     before = [node.serve(key) for key in range(1, 300)]
     for kind in (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED):
@@ -204,80 +215,86 @@
         assert [node.serve(key) for key in range(1, 300)] == before
 
 
-def test_a_zone_without_a_server_uses_all() -> None:
+def test_a_node_whose_zone_has_no_endpoint_uses_all_zones() -> None:
+    """No key is left without an endpoint."""
     node = fleet(60, zone=77)
     assert len({node.serve(key) for key in range(1, 2000)}) == 60
 
 
-# The structure by itself.
+# The data structures alone.
 
 
 @pytest.mark.parametrize("count", [6, 15, 22, 60, 200])
-def test_servers_of_one_weight_have_like_shares(count: int) -> None:
-    got = shares(grid(dict.fromkeys(range(count), 1.0)), 400 * count)
+def test_equal_weights_get_about_equal_numbers_of_keys(count: int) -> None:
+    """Within a quarter of the mean."""
+    got = relative_loads(grid(dict.fromkeys(range(count), 1.0)), 400 * count)
     assert min(got.values()) > 0.75 and max(got.values()) < 1.25
 
 
 @pytest.mark.parametrize("weights", [(1.0, 2.0, 4.0), (0.7, 1.0, 1.3), (0.3, 10.0), (1e-3, 2e-3)])
-def test_servers_have_keys_by_weight(weights: tuple[float, ...]) -> None:
-    made = grid({number: weights[number % len(weights)] for number in range(24)})
-    got = shares(made, 60_000)
-    lightest = min(units for units, _ in made._members.values()) / made.total_units
-    slack = 0.15 + 4 / (60_000 * lightest) ** 0.5  # by chance of the sample
+def test_keys_are_distributed_by_weight(weights: tuple[float, ...]) -> None:
+    """Within what the sample explains."""
+    slot_grid = grid({number: weights[number % len(weights)] for number in range(24)})
+    got = relative_loads(slot_grid, 60_000)
+    lightest = min(units for units, _ in slot_grid._members.values()) / slot_grid.total_units
+    slack = 0.15 + 4 / (60_000 * lightest) ** 0.5  # for the chance of the sample
     assert 1 - slack < min(got.values()) and max(got.values()) < 1 + slack
 
 
 @pytest.mark.parametrize("count", [20, 60, 250])
-def test_a_change_moves_little_more_than_a_fair_share_of_the_keys(count: int) -> None:
-    """Over a hundred changes each way: which servers they are moves the sum by some hundredths."""
+def test_a_change_moves_few_other_keys(count: int) -> None:
+    """At most 1.1 times the keys of the member that is removed or added, over a hundred changes each way."""
     random = Random(count)
     moved = fair = 0.0
     for first in range(0, 5000, 1000):
         names, keys = list(range(first, first + count)), [mix64(key) for key in range(100 * count)]
-        made = grid(dict.fromkeys(names, 1.0))
-        before = [made.find(key) for key in keys]
+        slot_grid = grid(dict.fromkeys(names, 1.0))
+        before = [slot_grid.find(key) for key in keys]
         for number in range(first + count, first + count + 20):
             leaving = names.pop(random.randrange(len(names)))
             names.append(number)
             for name, change in ((leaving, None), (number, (to_weight_units(1.0), number))):
-                size = len(made)
-                made.update({name.to_bytes(6, "big"): change})
-                now = [made.find(key) for key in keys]
+                size = len(slot_grid)
+                slot_grid.update({name.to_bytes(6, "big"): change})
+                now = [slot_grid.find(key) for key in keys]
                 moved += sum(one != other for one, other in zip(before, now, strict=True)) / len(keys)
-                fair += 1 / max(size, len(made))
+                fair += 1 / max(size, len(slot_grid))
                 before = now
     assert moved <= 1.1 * fair
 
 
 @pytest.mark.parametrize("count", [30, 126, 250])
-def test_a_list_that_grows_by_a_few_servers_moves_their_share_alone(count: int) -> None:
-    """Lists of a service, a zone or a whole site lie about 36, 130 and 200. A grid that had grown there would
-    have moved most keys."""
-    made = grid(dict.fromkeys(range(count), 1.0))
+def test_a_list_that_grows_by_six_moves_few_other_keys(count: int) -> None:
+    """Guards against a grid that grows near a common size of list, which moves most keys."""
+    slot_grid = grid(dict.fromkeys(range(count), 1.0))
     keys = [mix64(key) for key in range(100 * count)]
-    before = [made.find(key) for key in keys]
-    made.update(
+    before = [slot_grid.find(key) for key in keys]
+    slot_grid.update(
         {number.to_bytes(6, "big"): (to_weight_units(1.0), number) for number in range(count, count + 6)}
     )
-    moved = sum(one != made.find(key) for one, key in zip(before, keys, strict=True)) / len(keys)
+    moved = sum(one != slot_grid.find(key) for one, key in zip(before, keys, strict=True)) / len(keys)
     assert moved <= 1.3 * 6 / (count + 6)
 
 
-def test_more_weight_moves_keys_to_that_server_only() -> None:
-    made = grid(dict.fromkeys(range(60), 1.0))
+def test_more_weight_moves_keys_to_that_member_only() -> None:
+    """Up to the few that a displaced claim moves."""
+    slot_grid = grid(dict.fromkeys(range(60), 1.0))
     keys = [mix64(key) for key in range(12_000)]
-    before = [made.find(key) for key in keys]
-    made.update({(7).to_bytes(6, "big"): (to_weight_units(1.5), 7)})
-    changed = [(one, other) for one, other in zip(before, map(made.find, keys), strict=True) if one != other]
-    assert sum(other == 7 for _, other in changed) >= 0.9 * len(changed)  # the new slot may displace another
+    before = [slot_grid.find(key) for key in keys]
+    slot_grid.update({(7).to_bytes(6, "big"): (to_weight_units(1.5), 7)})
+    changed = [
+        (one, other) for one, other in zip(before, map(slot_grid.find, keys), strict=True) if one != other
+    ]
+    assert sum(other == 7 for _, other in changed) >= 0.9 * len(changed)  # the new claim may displace another
     assert 0 < len(changed) < 1.1 * 12_000 * 0.5 / 60.5 + 40
 
 
-def test_a_list_of_weights_far_apart_is_neither_crowded_nor_probed_without_end() -> None:
-    made = grid({0: 1e9, **dict.fromkeys(range(1, 300), 1e-9)})
-    assert len(made._slots) <= 3 * 300
-    assert Counter(made.find(mix64(key)) for key in range(2000))[0] > 1990
-    assert max(operations(lambda key=key: made.find(mix64(key))) for key in range(200)) < 6000
+def test_very_different_weights_need_few_slots_and_few_probes() -> None:
+    """Weights differ by a factor of 1e18."""
+    slot_grid = grid({0: 1e9, **dict.fromkeys(range(1, 300), 1e-9)})
+    assert len(slot_grid._slots) <= 3 * 300
+    assert Counter(slot_grid.find(mix64(key)) for key in range(2000))[0] > 1990
+    assert max(operations(lambda key=key: slot_grid.find(mix64(key))) for key in range(200)) < 6000
 
 
 CHANGE = st.tuples(st.integers(0, 30), st.sampled_from([None, 0.1, 1.0, 1.0, 1.0, 2.5, 1e-9, 1e9]))
@@ -285,45 +302,48 @@
 
 @profile(max_examples=60, deadline=None)
 @given(st.lists(CHANGE, max_size=80), st.integers(1, 5), st.randoms(use_true_random=False))
-def test_what_is_found_depends_on_the_servers_held_and_not_on_the_way_there(
+def test_the_result_depends_on_the_members_and_not_on_the_order_of_changes(
     changes: list[tuple[int, float | None]], batch: int, random: Random
 ) -> None:
-    made: CandidateIndex[int] = CandidateIndex(1)
-    held: dict[bytes, tuple[int, float, int] | None] = {}
+    """An index built anew finds the same."""
+    index: CandidateIndex[int] = CandidateIndex(1)
+    members: dict[bytes, tuple[int, float, int] | None] = {}
     for first in range(0, len(changes), batch):
         step = {
             name.to_bytes(6, "big"): None if weight is None else (name % 3, weight, name)
             for name, weight in changes[first : first + batch]
         }
-        held.update(step)
-        made.update(step)
-    items = [(name, change) for name, change in held.items() if change is not None]
+        members.update(step)
+        index.update(step)
+    items = [(name, change) for name, change in members.items() if change is not None]
     random.shuffle(items)
-    anew: CandidateIndex[int] = CandidateIndex(1)
-    anew.update(dict(items))
+    rebuilt_index: CandidateIndex[int] = CandidateIndex(1)
+    rebuilt_index.update(dict(items))
     for key in range(60):
-        for near in (False, True):
-            assert made.find(mix64(key), near) == anew.find(mix64(key), near)
-    assert len(made) == len(items)
+        for prefer_own_zone in (False, True):
+            assert index.find(mix64(key), prefer_own_zone) == rebuilt_index.find(mix64(key), prefer_own_zone)
+    assert len(index) == len(items)
     if not items:
-        assert made.find(1, True) is None
+        assert index.find(1, True) is None
 
 
 @profile(max_examples=60, deadline=None)
 @given(st.lists(CHANGE, max_size=60))
-def test_the_grid_keeps_its_own_rules(changes: list[tuple[int, float | None]]) -> None:
-    """Each claim has the first of its slots that no lower rank holds, and no slot has two marks or none."""
-    made: SlotGrid[int] = SlotGrid()
+def test_the_invariants_of_the_grid_hold(changes: list[tuple[int, float | None]]) -> None:
+    """Each claim has the first slot of its sequence that no lower rank has, and each such slot is marked."""
+    slot_grid: SlotGrid[int] = SlotGrid()
     for name, weight in changes:
-        made.update({name.to_bytes(6, "big"): None if weight is None else (to_weight_units(weight), name)})
-        claims = [claim for of_one in made._claims.values() for claim in of_one]
-        mask = made._mask
-        assert len(made._slots) == len(claims) == made._claim_count
-        assert sum(made._occupied[: mask + 1]) == len(claims)
+        slot_grid.update(
+            {name.to_bytes(6, "big"): None if weight is None else (to_weight_units(weight), name)}
+        )
+        claims = [claim for claims_of_member in slot_grid._claims.values() for claim in claims_of_member]
+        mask = slot_grid._mask
+        assert len(slot_grid._slots) == len(claims) == slot_grid._claim_count
+        assert sum(slot_grid._occupied[: mask + 1]) == len(claims)
         for claim in claims:
-            assert made._slots[claim.slot(claim.probe, mask)] is claim
-            for tries in range(claim.probe):
-                at = claim.slot(tries, mask)
-                assert made._slots[at].rank < claim.rank and claim in made._displaced[at]
-        assert sum(map(len, made._displaced.values())) == sum(claim.probe for claim in claims)
-        assert made.total_units == sum(units for units, _ in made._members.values())
+            assert slot_grid._slots[claim.slot(claim.probe, mask)] is claim
+            for probe in range(claim.probe):
+                slot = claim.slot(probe, mask)
+                assert slot_grid._slots[slot].rank < claim.rank and claim in slot_grid._displaced[slot]
+        assert sum(map(len, slot_grid._displaced.values())) == sum(claim.probe for claim in claims)
+        assert slot_grid.total_units == sum(units for units, _ in slot_grid._members.values())
