--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -1,10 +1,13 @@
-"""A hollow fleet: many nodes' modules in one process, no sockets, a simulated clock, servers that answer."""
+"""Measure a simulated fleet: many decision modules in one process, without sockets, on a simulated clock.
+
+Each endpoint answers each request after the same time. `measure` gives the figures.
+"""
 
 from __future__ import annotations
 
 import gc
 from collections import Counter
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 from dataclasses import replace
 from heapq import heappop, heappush
 from pathlib import Path
@@ -19,209 +22,264 @@
 from scale.figures import fit
 
 SIZES = ((30, 60), (30, 1_000), (30, 3_600), (30, 7_200), (200, 1_000), (660, 1_000))  # nodes, servers
-AGENTS_S = 2.0  # assumed: from a change to the last agent that writes it to its node
-WORK = 20 * world.MS  # of a request at any server
-PER_SERVER = world.REQUESTS_PER_S / world.SERVERS  # requests a second
-WARM_S, COLD_S = 4, 4  # of simulated time
-KEYS = 2_000
-START = 1_000 * world.SECOND
+SMOKE_SIZES = ((9, 60),)
+SLOPE_NODE_COUNT = 30
+MIN_SLOPE_POINT_COUNT = 4
+AGENT_DELAY_S = 2.0  # assumed: from a change to the last agent that writes it to its node
+SERVICE_TIME_NS = 20 * world.MS
+SERVER_REQUEST_RATE = world.REQUESTS_PER_S / world.MAX_SERVERS  # requests a second and server
+LOAD_DURATION_S = 4
+MAX_LOAD_REQUESTS = 100_000
+MAX_SLOW_START_REQUESTS = 110_000
+"""Slow start is left out where `LOAD_DURATION_S` has more requests, as it would take too long."""
+KEY_COUNT = 2_000
+START_NS = 1_000 * world.SECOND_NS
+PAGE_BYTES = 4096
+
+Row = dict[str, Any]
 
 
 class Fleet:
-    """Nodes of all zones, each with the same list; requests with random keys, each answered after WORK."""
+    """Nodes of all zones with the same endpoint list, and requests with random keys."""
 
-    def __init__(self, nodes: int, servers: int, seed: int = 1) -> None:
-        self.now = START
-        self.sends: list[tuple[int, api.EndpointId]] = []  # when, to whom
+    def __init__(self, node_count: int, server_count: int, seed: int = 1) -> None:
+        """Start the nodes and give them the list."""
+        self.now_ns = START_NS
+        self.sends: list[tuple[int, api.EndpointId]] = []  # time in ns, endpoint
         self._random = np.random.default_rng(seed)
-        self._due: list[tuple[int, int, int, api.Event]] = []  # when, number, node, what
-        self._count = 0
-        base = world.settings(nodes)
-        self.nodes = [Balancer(replace(base, zone=one % world.ZONES), seed + one) for one in range(nodes)]
+        self._event_queue: list[tuple[int, int, int, api.Event]] = []  # time in ns, order, node, event
+        self._event_count = 0
+        settings = world.settings(node_count)
+        self.nodes = [
+            Balancer(replace(settings, zone=index % world.ZONE_COUNT), seed + index)
+            for index in range(node_count)
+        ]
         for index, node in enumerate(self.nodes):
-            self._act(index, node.start(self.now))
-        self.starts = self.tell_all(world.whole(servers))
+            self._execute(index, node.start(self.now_ns))
+        self.notify_all(world.snapshot(server_count))
 
-    def tell_all(self, event: api.Event) -> list[float]:
-        """To every node, now; the processor seconds of each."""
+    def notify_all(self, event: api.Event) -> list[float]:
+        """Give an event to every node at once; return the CPU seconds that each took."""
         times = []
         for index, node in enumerate(self.nodes):
-            since = process_time()
-            actions = node.handle(self.now, event)
-            times.append(process_time() - since)
-            self._act(index, actions)
+            begin = process_time()
+            actions = node.handle(self.now_ns, event)
+            times.append(process_time() - begin)
+            self._execute(index, actions)
         return times
 
-    def _later(self, at: int, index: int, event: api.Event) -> None:
-        self._count += 1
-        heappush(self._due, (at, self._count, index, event))
-
-    def _act(self, index: int, actions: Sequence[api.Action]) -> None:
-        for action in actions:
-            if isinstance(action, api.SetTimer):
-                self._later(max(action.at_ns, self.now), index, api.TimerFired(action.timer_id))
-            elif isinstance(action, api.Forward):
-                self.sends.append((self.now, action.endpoint_id))
-                done = api.AttemptOutcome(
-                    action.request_id, True, api.AttemptResult.OK, WORK, action.endpoint_id, 0, ()
-                )
-                self._later(self.now + WORK, index, done)
-
     def run(self, seconds: float, rate: float) -> None:
-        """So much simulated time, with so many requests a second over all nodes."""
-        end = self.now + int(seconds * world.SECOND)
+        """Simulate this time, with so many requests a second over all nodes."""
+        end_ns = self.now_ns + int(seconds * world.SECOND_NS)
         count = int(self._random.poisson(rate * seconds))
-        times = self._random.integers(self.now, end, count)
-        which = self._random.integers(0, len(self.nodes), count)
+        times = self._random.integers(self.now_ns, end_ns, count)
+        nodes = self._random.integers(0, len(self.nodes), count)
         keys = self._random.integers(1, 1 << 62, count)
-        for at, index, key in zip(times.tolist(), which.tolist(), keys.tolist(), strict=True):
-            request = api.Request(self._count + 1, world.SECOND, 0, 0, key, False)
-            self._later(at, index, request)
-        while self._due and self._due[0][0] <= end:
-            self.now, _, index, event = heappop(self._due)
-            self._act(index, self.nodes[index].handle(self.now, event))
-        self.now = end
-
-    def goes_to(self, keys: Sequence[int]) -> list[api.EndpointId | None]:
-        """Where the first node sends each of these keys, one at a time and answered at once."""
+        for at_ns, index, key in zip(times.tolist(), nodes.tolist(), keys.tolist(), strict=True):
+            request = api.Request(self._event_count + 1, world.SECOND_NS, 0, 0, key, False)
+            self._schedule(at_ns, index, request)
+        while self._event_queue and self._event_queue[0][0] <= end_ns:
+            self.now_ns, _, index, event = heappop(self._event_queue)
+            self._execute(index, self.nodes[index].handle(self.now_ns, event))
+        self.now_ns = end_ns
+
+    def endpoints_of(self, keys: Sequence[int]) -> list[api.EndpointId | None]:
+        """Return the endpoint to which the first node sends each key, one at a time and answered at once."""
+        node = self.nodes[0]
         found: list[api.EndpointId | None] = []
         for key in keys:
-            self._count += 1
-            actions = self.nodes[0].handle(self.now, api.Request(self._count, world.SECOND, 0, 0, key, False))
-            send = next((action for action in actions if isinstance(action, api.Forward)), None)
-            found.append(send.endpoint_id if send else None)
-            if send:
-                done = api.AttemptOutcome(
-                    self._count, True, api.AttemptResult.OK, WORK, send.endpoint_id, 0, ()
-                )
-                self.nodes[0].handle(self.now, done)
+            self._event_count += 1
+            request = api.Request(self._event_count, world.SECOND_NS, 0, 0, key, False)
+            actions = node.handle(self.now_ns, request)
+            forward = next((action for action in actions if isinstance(action, api.Forward)), None)
+            found.append(forward.endpoint_id if forward else None)
+            if forward:
+                node.handle(self.now_ns, _answer_to(forward))
         return found
 
+    def _schedule(self, at_ns: int, index: int, event: api.Event) -> None:
+        self._event_count += 1
+        heappush(self._event_queue, (at_ns, self._event_count, index, event))
 
-def resident() -> float:
-    """Bytes of this process."""
-    return float(Path("/proc/self/statm").read_text().split()[1]) * 4096
-
-
-def measure(smoke: bool) -> list[dict[str, Any]]:
-    found: list[dict[str, Any]] = []
-    memory: dict[int, float] = {}
-    for nodes, servers in ((9, 60),) if smoke else SIZES:
-        found += _at(nodes, servers, memory)
-    by_servers = [(servers, memory[servers]) for nodes, servers in SIZES if nodes == 30 and servers in memory]
-    if len(by_servers) >= 4:
-        line = fit(by_servers)
-        found.append(
-            {
-                "name": "memory of a hollow node, slope",
-                "size": "servers 60 to 7200",
-                "value": line.slope,
-                "unit": "B a server",
-                "spread": line.slope_error,
-                "bound": None,
-                "why": f"30 nodes; entries of the list are shared; starts at {line.start:.0f} B",
-            }
-        )
-    return found
-
-
-def _at(nodes: int, servers: int, memory: dict[int, float]) -> list[dict[str, Any]]:
-    size = {"nodes": nodes, "servers": servers}
-    found: list[dict[str, Any]] = []
-
-    def add(name: str, value: float, unit: str, bound: float | None = None, **more: Any) -> None:
-        found.append({"name": name, "size": size, "value": value, "unit": unit, "bound": bound, **more})
-
-    gc.collect()
-    before = resident()
-    fleet = Fleet(nodes, servers)
-    gc.collect()
-    held = (resident() - before) / nodes
-    memory.setdefault(servers, held)
-    add("memory of a hollow node", held / 1e6, "MB")
-    rate = PER_SERVER * servers
-    zone, rack = world.in_zone(servers), world.in_rack(servers)
-    cold = [world.server(number)._replace(started_at_ns=1) for number in zone]
-
-    def told(name: str, numbers: list[int], state: api.EndpointState) -> None:
-        times = fleet.tell_all(world.change(world.server(number, state) for number in numbers))
-        add(
-            f"{name}, last node acting, {AGENTS_S:.0f} s of agents assumed",
-            AGENTS_S + max(times),
+    def _execute(self, index: int, actions: Sequence[api.Action]) -> None:
+        for action in actions:
+            if isinstance(action, api.SetTimer):
+                at_ns = max(action.at_ns, self.now_ns)
+                self._schedule(at_ns, index, api.TimerFired(action.timer_id))
+            elif isinstance(action, api.Forward):
+                self.sends.append((self.now_ns, action.endpoint_id))
+                self._schedule(self.now_ns + SERVICE_TIME_NS, index, _answer_to(action))
+
+
+def _answer_to(action: api.Forward) -> api.AttemptOutcome:
+    return api.AttemptOutcome(
+        action.request_id, True, api.AttemptResult.OK, SERVICE_TIME_NS, action.endpoint_id, 0, ()
+    )
+
+
+class FleetMeasurement:
+    """The figures of a fleet of one size, which has to be measured in the order of `run`."""
+
+    def __init__(self, node_count: int, server_count: int) -> None:
+        """Build the fleet, and measure its memory."""
+        self.rows: list[Row] = []
+        self._size = {"nodes": node_count, "servers": server_count}
+        self._server_count = server_count
+        self._rate = SERVER_REQUEST_RATE * server_count
+        gc.collect()
+        before = resident_bytes()
+        self._fleet = Fleet(node_count, server_count)
+        gc.collect()
+        self.node_bytes = (resident_bytes() - before) / node_count
+
+    def run(self) -> None:
+        """Take all figures."""
+        self._add("memory of a hollow node", self.node_bytes / 1e6, "MB")
+        self._measure_updates()
+        zone_rate = self._measure_load()
+        if self._rate * LOAD_DURATION_S <= MAX_SLOW_START_REQUESTS:
+            self._measure_slow_start(zone_rate)
+
+    def _add(self, name: str, value: float, unit: str, bound: float | None = None, **more: Any) -> None:
+        row = {"name": name, "size": self._size, "value": value, "unit": unit, "bound": bound, **more}
+        self.rows.append(row)
+
+    def _measure_updates(self) -> None:
+        """Remove and add one server, a rack and a zone."""
+        ready, removed = api.EndpointState.READY, api.EndpointState.REMOVED
+        zone, rack = world.in_zone(self._server_count), world.in_rack(self._server_count)
+        before = self._fleet.endpoints_of(range(1, KEY_COUNT + 1))
+        self._measure_update("one server lost", [0], removed)
+        self._measure_moved_keys("one server lost", [0], before)
+        self._measure_update("one server back", [0], ready)
+        self._measure_update("rack lost", rack, removed)
+        self._measure_update("rack back", rack, ready)
+        before = self._fleet.endpoints_of(range(1, KEY_COUNT + 1))
+        self._measure_update("zone lost", zone, removed)
+        self._measure_moved_keys("zone lost", zone, before)
+        self._measure_update("zone back", zone, ready)
+
+    def _measure_update(self, name: str, numbers: Iterable[int], state: api.EndpointState) -> None:
+        update = world.delta(world.endpoint(number, state) for number in numbers)
+        times = self._fleet.notify_all(update)
+        self._add(
+            f"{name}, last node acting, {AGENT_DELAY_S:.0f} s of agents assumed",
+            AGENT_DELAY_S + max(times),
             "s",
-            world.IN_FORCE_S,
+            world.MAX_UPDATE_DELAY_S,
             calculated=True,
             spread=(max(times) - min(times)) / 2,
             why="the nodes' processor time is run; the agents' spread is an assumption",
         )
 
-    keys = list(range(1, KEYS + 1))
-    steady = fleet.goes_to(keys)
-
-    def moved(name: str, numbers: list[int]) -> None:
-        lost = {world.server(number).id for number in numbers}
-        pairs = list(zip(steady, fleet.goes_to(keys), strict=True))
-        needless = sum(old != new and old not in lost for old, new in pairs) / KEYS
-        held = sum(old in lost for old, _ in pairs) / KEYS
-        add(
+    def _measure_moved_keys(
+        self, name: str, removed_numbers: Iterable[int], before: list[api.EndpointId | None]
+    ) -> None:
+        removed = {world.endpoint(number).id for number in removed_numbers}
+        after = self._fleet.endpoints_of(range(1, KEY_COUNT + 1))
+        needless = sum(old != new and old not in removed for old, new in zip(before, after, strict=True))
+        needed = sum(old in removed for old in before)
+        self._add(
             f"keys moved though their server stayed, {name}",
-            100 * needless,
+            100 * (needless / KEY_COUNT),
             "%",
-            why=f"and {100 * held:.1f} % whose server was lost; seen from a node of that zone",
+            why=f"and {100 * (needed / KEY_COUNT):.1f} % whose server was lost; "
+            "seen from a node of that zone",
         )
 
-    told("one server lost", [0], api.EndpointState.REMOVED)
-    moved("one server lost", [0])
-    told("one server back", [0], api.EndpointState.READY)
-    told("rack lost", rack, api.EndpointState.REMOVED)
-    told("rack back", rack, api.EndpointState.READY)
-    steady = fleet.goes_to(keys)
-    told("zone lost", zone, api.EndpointState.REMOVED)
-    moved("zone lost", zone)
-    told("zone back", zone, api.EndpointState.READY)
-
-    seconds = min(float(WARM_S), 100_000 / rate)
-    fleet.run(seconds, rate)
-    counts = Counter(name for _, name in fleet.sends)
-    mean = len(fleet.sends) / servers
-    listed = [world.server(number) for number in range(servers)]
-    weight = sum(one.weight for one in listed)
-    most = max(counts[one.id] / one.weight for one in listed) / (len(fleet.sends) / weight)
-    shares = [one.weight / weight for one in listed]
-    chance = np.random.default_rng(1).multinomial(len(fleet.sends), shares)
-    lucky = float(np.max(chance / np.array(shares))) / len(fleet.sends)
-    add(
-        "load for its weight, most of a server to the mean",
-        most,
-        "times",
-        why=f"{mean:.0f} requests a server; by chance alone {lucky:.2f}",
-    )
-    usual = sum(counts[one.id] for one in cold) / sum(one.weight for one in cold) / seconds
-    add(
-        "servers that met no request",
-        100 * (1 - len(counts) / servers),
-        "%",
-        why=f"by chance {100 * float((chance == 0).mean()):.2f} %",
-    )
+    def _measure_load(self) -> float:
+        """Measure how requests are distributed; return requests a second and unit of weight in zone 0."""
+        seconds = min(float(LOAD_DURATION_S), MAX_LOAD_REQUESTS / self._rate)
+        self._fleet.run(seconds, self._rate)
+        counts = Counter(endpoint_id for _, endpoint_id in self._fleet.sends)
+        endpoints = [world.endpoint(number) for number in range(self._server_count)]
+        self._add_load_rows(counts, endpoints)
+        zone = [endpoint for endpoint in endpoints if endpoint.zone == 0]
+        return sum(counts[endpoint.id] for endpoint in zone) / sum(one.weight for one in zone) / seconds
+
+    def _add_load_rows(self, counts: Counter[api.EndpointId], endpoints: list[api.Endpoint]) -> None:
+        request_count = len(self._fleet.sends)
+        total_weight = sum(endpoint.weight for endpoint in endpoints)
+        mean_load = request_count / total_weight
+        max_load = max(counts[endpoint.id] / endpoint.weight for endpoint in endpoints)
+        weight_ratios = [endpoint.weight / total_weight for endpoint in endpoints]
+        chance = np.random.default_rng(1).multinomial(request_count, weight_ratios)
+        chance_max_load = float(np.max(chance / np.array(weight_ratios))) / request_count
+        mean_requests = request_count / self._server_count
+        self._add(
+            "load for its weight, most of a server to the mean",
+            max_load / mean_load,
+            "times",
+            why=f"{mean_requests:.0f} requests a server; by chance alone {chance_max_load:.2f}",
+        )
+        self._add(
+            "servers that met no request",
+            100 * (1 - len(counts) / self._server_count),
+            "%",
+            why=f"by chance {100 * float((chance == 0).mean()):.2f} %",
+        )
 
-    if rate * COLD_S <= 110_000:
-        fleet.tell_all(world.change(one._replace(state=api.EndpointState.REMOVED) for one in cold))
-        fleet.run(1.0, rate)
-        fleet.sends.clear()
-        fleet.tell_all(world.change(one._replace(started_at_ns=fleet.now) for one in cold))
-        fleet.run(world.FALL_TIME / world.SECOND, rate)
-        sent = Counter(name for _, name in fleet.sends)
-        # What it can do at the least, at its cold share throughout, times the multiple that it stands.
-        worst = 0.0
-        for one in cold:
-            own = usual * one.weight * world.FALL_TIME / world.SECOND
-            allowed = world.FALL_MULTIPLE * world.COLD_SHARE * own
-            worst = max(worst, sent[one.id] / (allowed + 2 * allowed**0.5 + 2))
-        add(
+    def _measure_slow_start(self, zone_rate: float) -> None:
+        """Remove zone 0, add it again as just started, and measure the requests that its endpoints get."""
+        zone = [world.endpoint(number, started_at_ns=1) for number in world.in_zone(self._server_count)]
+        removed = world.delta(endpoint._replace(state=api.EndpointState.REMOVED) for endpoint in zone)
+        self._fleet.notify_all(removed)
+        self._fleet.run(1.0, self._rate)
+        self._fleet.sends.clear()
+        now_ns = self._fleet.now_ns
+        self._fleet.notify_all(world.delta(endpoint._replace(started_at_ns=now_ns) for endpoint in zone))
+        self._fleet.run(world.OVERLOAD_DURATION_NS / world.SECOND_NS, self._rate)
+        counts = Counter(endpoint_id for _, endpoint_id in self._fleet.sends)
+        self._add(
             "cold zone, most attempts to a server in 3 s, of N + 2 sqrt N + 2",
-            worst,
+            max(counts[endpoint.id] / _max_slow_start_requests(endpoint, zone_rate) for endpoint in zone),
             "times",
             1.0,
             why="N: 4 times 30% of what its zone took for its weight when warm",
         )
-    return found
+
+
+def _max_slow_start_requests(endpoint: api.Endpoint, zone_rate: float) -> float:
+    """Return how many requests an endpoint may get while its capacity is at its initial ratio, with slack."""
+    warm_requests = zone_rate * endpoint.weight * world.OVERLOAD_DURATION_NS / world.SECOND_NS
+    allowed = world.OVERLOAD_MULTIPLE * world.SLOW_START_INITIAL_RATIO * warm_requests
+    return float(allowed + 2 * allowed**0.5 + 2)
+
+
+def resident_bytes() -> float:
+    """Return the resident memory of this process."""
+    return float(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES
+
+
+def measure(smoke: bool) -> list[Row]:
+    """Return the figures of all sizes; smoke: of the smallest."""
+    rows: list[Row] = []
+    memory: list[tuple[float, float]] = []  # servers, bytes of a node
+    for node_count, server_count in SMOKE_SIZES if smoke else SIZES:
+        size_rows, node_bytes = _measure_size(node_count, server_count)
+        rows += size_rows
+        if node_count == SLOPE_NODE_COUNT:
+            memory.append((server_count, node_bytes))
+    if len(memory) >= MIN_SLOPE_POINT_COUNT:
+        rows.append(_memory_slope(memory))
+    return rows
+
+
+def _measure_size(node_count: int, server_count: int) -> tuple[list[Row], float]:
+    """Return the figures of one size, and the memory of a node in bytes; the fleet is freed on return."""
+    measurement = FleetMeasurement(node_count, server_count)
+    measurement.run()
+    return measurement.rows, measurement.node_bytes
+
+
+def _memory_slope(memory: list[tuple[float, float]]) -> Row:
+    line = fit(memory)
+    return {
+        "name": "memory of a hollow node, slope",
+        "size": "servers 60 to 7200",
+        "value": line.slope,
+        "unit": "B a server",
+        "spread": line.slope_error,
+        "bound": None,
+        "why": f"{SLOPE_NODE_COUNT} nodes; entries of the list are shared; starts at {line.start:.0f} B",
+    }
