--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -28,14 +28,12 @@
 )
 from moleport.policy.hot_keys import HotKeyTracker
 from moleport.policy.interface import (
-    NOT_EXECUTED,
     AttemptResult,
-    DeduplicationScope,
     DiscoveryMode,
     EndpointState,
     EndpointUpdateKind,
-    Idempotency,
 )
+from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
 from moleport.policy.zones import CandidateIndex
 
 SECOND = 1_000_000_000  # ns
@@ -103,7 +101,6 @@
 # Further attempts.
 RETRY_BUDGET = 0.1  # further attempts earned by each first one
 RETRY_BURST = 10.0  # that may be saved up
-REPEAT_WAY = SECOND // 50  # of the window of a keyed repeat: from its last byte written until it is there
 RETRY_LEAST = 0.5  # of what is usual for the class: with less time left no further attempt is made
 
 # The list.
@@ -123,13 +120,13 @@
 
     count: int = 0
     mean: float = 0.0
-    changed: int = 0
+    changed_at_ns: int = 0
 
     def add(self, now: int, change: int) -> None:
-        keep = exp((self.changed - now) / PERIOD)
+        keep = exp((self.changed_at_ns - now) / PERIOD)
         self.mean = keep * self.mean + (1.0 - keep) * self.count
         self.count += change
-        self.changed = now
+        self.changed_at_ns = now
 
     def is_below(self, now: int, cap: float) -> bool:
         """At a small share of the traffic a cap is near one or less, and chance bunches a few requests where
@@ -139,152 +136,73 @@
 
 
 @dataclass(slots=True)
-class Breaker:
+class CircuitBreaker:
     """The paper's controller for one class: at how many requests in flight at this node it meets its aim."""
 
-    aim: int
-    target: float = 0.0
-    base: float = 0.0  # the tail where little waits: followed down fast and up slowly
-    alpha: float = 0.0  # response time for each request in flight; 0 until a window has told
-    proven: float = 0.0  # requests in flight, all classes
-    typical: float = 0.0  # response time: a measure of the class's work
+    latency_objective_ns: int
+    target_ns: float = 0.0
+    unloaded_tail_ns: float = 0.0  # the tail where little waits: followed down fast and up slowly
+    ns_per_request: float = 0.0  # response time for each request in flight; 0 until a window has told
+    proven_in_flight: float = 0.0  # requests in flight, all classes
+    typical_ns: float = 0.0  # response time: a measure of the class's work
     in_flight: InFlight = field(default_factory=InFlight)  # of this class
-    samples: list[float] = field(default_factory=list)
+    samples_ns: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.target, self.typical = TARGET * self.aim, float(self.aim)
+        self.target_ns, self.typical_ns = TARGET * self.latency_objective_ns, float(self.latency_objective_ns)
 
     def threshold(self, start: float) -> float:
-        return max(self.target / self.alpha, PROVEN_PART * self.proven) if self.alpha else start
+        return (
+            max(self.target_ns / self.ns_per_request, PROVEN_PART * self.proven_in_flight)
+            if self.ns_per_request
+            else start
+        )
 
     def update(self, in_flight: float, start: float, idle: bool) -> None:
         """At the end of a window, with the mean of the requests in flight in it."""
-        if self.samples and in_flight:
-            self.samples.sort()
+        if self.samples_ns and in_flight:
+            self.samples_ns.sort()
             # An answer within the same tick took no time: a zero would divide.
-            tail = max(1.0, self.samples[int(PERCENTILE * (len(self.samples) - 1))])
-            self.typical += (1 - KEEP) * (self.samples[len(self.samples) // 2] - self.typical)
-            follow = BASE_FALLS if tail < self.base else BASE_RISES
-            self.base = self.base + follow * (tail - self.base) if self.base else tail
-            self.target = min(self.aim, max((1.0 if idle else TARGET) * self.aim, HEADROOM * self.base))
+            tail = max(1.0, self.samples_ns[int(PERCENTILE * (len(self.samples_ns) - 1))])
+            self.typical_ns += (1 - KEEP) * (self.samples_ns[len(self.samples_ns) // 2] - self.typical_ns)
+            follow = BASE_FALLS if tail < self.unloaded_tail_ns else BASE_RISES
+            self.unloaded_tail_ns = (
+                self.unloaded_tail_ns + follow * (tail - self.unloaded_tail_ns)
+                if self.unloaded_tail_ns
+                else tail
+            )
+            self.target_ns = min(
+                self.latency_objective_ns,
+                max((1.0 if idle else TARGET) * self.latency_objective_ns, HEADROOM * self.unloaded_tail_ns),
+            )
             # Where all servers turn slow, no cap can meet the target and the plain rule falls without end.
-            self.proven = max(PROVEN_FADES * self.proven, in_flight if tail <= self.target else 0.0)
+            self.proven_in_flight = max(
+                PROVEN_FADES * self.proven_in_flight, in_flight if tail <= self.target_ns else 0.0
+            )
             alpha = tail / in_flight
             # A window within its target can't lower the cap: a quiet one would, and refuse the next burst.
-            if tail > self.target or self.target / alpha > self.threshold(start):
-                self.alpha = KEEP * (self.alpha or self.target / max(1.0, start)) + (1 - KEEP) * alpha
-        self.samples.clear()
-
-
-@dataclass(slots=True, eq=False)
-class Backend:
-    """What this node knows of one server."""
-
-    entry: api.Endpoint
-    tokens: float
-    refilled: int
-    in_flight: int = 0
-    idle: list[int] = field(default_factory=list)  # since when each connection is idle
-    fullness: dict[int, float] = field(default_factory=dict)
-    """Share of full answers, lately, by class: a server may have room for some and turn others away."""
-    busy: float = 0.0  # part of its cores in use, as last reported
-    pace: float = 1.0  # its response times over what is usual for their class
-    slowness: float = 1.0  # the same with what was waited for answers that did not come
-    answered: int = 0  # when it last did
-    listed: int = 0  # when this node heard of it, or of its last start
-    ready: bool = False  # has a place among the candidates
-    warm_units: int = 0  # of its weight, as counted in that of all warm servers
-    failures: float = 0.0
-    ejected_until: int = 0
-    doublings: int = 0
-    trial: bool = False
-
-    def silence(self, now: int) -> int:
-        """For how long it could have answered and has not. One just listed has not been silent since ever."""
-        return now - max(self.answered, self.listed)
-
-    def forgive(self) -> None:
-        self.failures = 0.0
-        self.ejected_until, self.doublings, self.trial = 0, 0, False
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    backend: Backend
-    sent: int
-    idle: int  # for how long its connection had been; 0: a new one
-    result: AttemptResult | None = None
-
-
-@dataclass(slots=True, eq=False)
-class Open:
-    """A request that is unanswered or has attempts out."""
-
-    request: api.Request
-    kind: api.RequestClass
-    expires: int
-    useful_until: int  # an answer after the aim that is worth nothing is not waited for
-    attempts: list[Attempt] = field(default_factory=list)
-    closed: bool = False
-
-    def is_over(self) -> bool:
-        return self.closed and all(attempt.result is not None for attempt in self.attempts)
-
-    def may_have_run(self) -> list[Attempt]:
-        return [attempt for attempt in self.attempts if attempt.result not in NOT_EXECUTED]
-
-    def may_refuse(self) -> bool:
-        """A refusal says that trying again is harmless."""
-        if self.kind.idempotency is Idempotency.IDEMPOTENT or not self.may_have_run():
-            return True
-        return (
-            self.kind.idempotency is Idempotency.IDEMPOTENCY_KEY
-            and self.kind.deduplication_scope is DeduplicationScope.ALL
-            and self.request.key != 0
-        )
-
-    def may_send_to(self, server: api.Endpoint, now: int) -> bool:
-        """No effect twice: a keyed request stays with those that drop its repeats, while they do."""
-        if self.kind.idempotency is Idempotency.IDEMPOTENT:
-            return True
-        return all(self._drops_repeat(server, earlier, now) for earlier in self.may_have_run())
-
-    def _drops_repeat(self, server: api.Endpoint, earlier: Attempt, now: int) -> bool:
-        # Without a key no server can know the repeat.
-        if (
-            self.kind.idempotency is not Idempotency.IDEMPOTENCY_KEY
-            or not self.request.key
-            or now >= self.write_by()
-        ):
-            return False
-        if self.kind.deduplication_scope is DeduplicationScope.ZONE:
-            return server.zone == earlier.backend.entry.zone
-        return (
-            self.kind.deduplication_scope is DeduplicationScope.ALL
-            or server.cell == earlier.backend.entry.cell
-        )
-
-    def write_by(self) -> int:
-        """One that waits for its connection until its key is forgotten would run again. 0: no bound."""
-        ran = self.may_have_run() if self.kind.idempotency is Idempotency.IDEMPOTENCY_KEY else []
-        return ran[0].sent + self.kind.deduplication_window_ns - REPEAT_WAY if ran else 0
+            if tail > self.target_ns or self.target_ns / alpha > self.threshold(start):
+                self.ns_per_request = (
+                    KEEP * (self.ns_per_request or self.target_ns / max(1.0, start)) + (1 - KEEP) * alpha
+                )
+        self.samples_ns.clear()
 
 
 @dataclass(slots=True)
-class Kind:
+class HardwareTypeStatus:
     """What this node knows of the servers that the list puts into one group."""
 
-    share: float = 1.0  # of the keys that hash to them, against those of the group that can do most
-    busy: float = 0.0  # part of their cores in use, by their own reports
-    reports: int = 0
+    hash_ratio: float = 1.0  # of the keys that hash to them, against those of the group that can do most
+    utilization: float = 0.0  # part of their cores in use, by their own reports
+    report_count: int = 0
 
 
 @dataclass(slots=True)
 class KeyQueue:
     """The requests of one key that run in order: the first has the turn, the others wait."""
 
-    entries: deque[Open] = field(default_factory=deque)
-    cools_until: int = 0  # what may still run at a server is given this long
+    requests: deque[ActiveRequest] = field(default_factory=deque)
+    cooldown_until_ns: int = 0  # what may still run at a server is given this long
 
 
 class Balancer:
@@ -293,21 +211,21 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._settings = settings
         self._random = Random(seed)
-        self._breakers = [Breaker(kind.latency_objective_ns) for kind in settings.classes]
-        self._backends: dict[api.EndpointId, Backend] = {}
-        self._ready: list[Backend] = []  # by id
-        self._candidates: CandidateIndex[Backend] = CandidateIndex(settings.zone)
+        self._breakers = [CircuitBreaker(kind.latency_objective_ns) for kind in settings.classes]
+        self._backends: dict[api.EndpointId, EndpointStatus] = {}
+        self._ready: list[EndpointStatus] = []  # by id
+        self._candidates: CandidateIndex[EndpointStatus] = CandidateIndex(settings.zone)
         self._changed: dict[api.EndpointId, None] = {}  # entries that the list just changed
         # Of those that are ready, by what ticks look at; a dict's order is the same in each process.
-        self._ejected: dict[Backend, None] = {}
+        self._ejected: dict[EndpointStatus, None] = {}
         self._by_failures: list[
             tuple[float, api.EndpointId]
         ] = []  # a heap of the ejected, with stale entries
-        self._cold: dict[Backend, None] = {}  # or not yet known to be warm
+        self._cold: dict[EndpointStatus, None] = {}  # or not yet known to be warm
         self._warm_units = 0  # weight of those that are warm
         self._busy = 0  # sum of their parts of cores in use, in 1 / UNITS: whole numbers don't drift
-        self._filled: dict[Backend, None] = {}  # all that gave full answers lately
-        self._open: dict[int, Open] = {}
+        self._filled: dict[EndpointStatus, None] = {}  # all that gave full answers lately
+        self._open: dict[int, ActiveRequest] = {}
         self._caps = [0.0] * len(settings.classes)  # requests in flight at which a class is refused
         self._in_flight = InFlight()
         self._arrivals = 0  # of all tenants
@@ -318,7 +236,7 @@
         self._lost_idle = self._lost_others = 0.0  # share of attempts without an answer, by connection
         self._fleet_failures = self._connect_failures = 0.0  # share of attempts, and of new connections
         self._trusted_idle = self._distrusted = 0  # idle time of a connection that is trusted, and since when
-        self._kinds: defaultdict[int, Kind] = defaultdict(Kind)
+        self._kinds: defaultdict[int, HardwareTypeStatus] = defaultdict(HardwareTypeStatus)
         self._key_queues: dict[int, KeyQueue] = {}  # by key
         self._retry_budget = RETRY_BURST
         self._hitters = HotKeyTracker()  # among the keys
@@ -436,7 +354,7 @@
     def _value(self, index: int) -> float:
         """Worth for a unit of work."""
         worth = self._settings.classes[index].priority_weight
-        return worth if self._settings.weight_by_work else worth / max(1.0, self._breakers[index].typical)
+        return worth if self._settings.weight_by_work else worth / max(1.0, self._breakers[index].typical_ns)
 
     # Requests.
 
@@ -446,17 +364,16 @@
         if request.key:
             self._hitters.record(request.key)
         expires = now + request.remaining_ns
-        entry = Open(
+        entry = ActiveRequest(
             request,
             kind,
-            expires,
             expires if kind.late_weight_ratio else min(expires, now + kind.latency_objective_ns),
         )
         send = self._enqueue if kind.ordered_by_key and request.key else self._send_first
         if not self._admits(now, request) or not send(now, entry):
             self._refuse(entry)
 
-    def _send_first(self, now: int, entry: Open) -> bool:
+    def _send_first(self, now: int, entry: ActiveRequest) -> bool:
         if (backend := self._choose(now, entry)) is None:
             return False
         self._retry_budget = min(RETRY_BURST, self._retry_budget + RETRY_BUDGET)
@@ -464,14 +381,16 @@
         self._send(now, entry, backend)
         return True
 
-    def _send(self, now: int, entry: Open, backend: Backend) -> None:
-        idle, time_out = self._connect(now, backend), max(1, entry.useful_until - now)
-        self._actions.append(api.Forward(entry.request.id, backend.entry.id, time_out, entry.write_by()))
+    def _send(self, now: int, entry: ActiveRequest, backend: EndpointStatus) -> None:
+        idle, time_out = self._connect(now, backend), max(1, entry.useful_until_ns - now)
+        self._actions.append(
+            api.Forward(entry.request.id, backend.endpoint.id, time_out, entry.write_deadline_ns())
+        )
         entry.attempts.append(Attempt(backend, now, idle))
         backend.in_flight += 1
-        backend.trial = backend.ejected_until > 0
-        if self._warmth(now, backend.entry) < 1.0:
-            backend.tokens -= 1.0
+        backend.is_on_trial = backend.ejected_until_ns > 0
+        if self._warmth(now, backend.endpoint) < 1.0:
+            backend.slow_start_tokens -= 1.0
         self._in_flight.add(now, 1)
         self._breakers[entry.request.class_index].in_flight.add(now, 1)
 
@@ -486,64 +405,64 @@
         self._cool_down(now, entry, outcome.result)
         # What was lost to a dropped connection tells no more of its server than a cancelled attempt does, nor
         # does a time-out before an answer could be there: a further attempt gets what time is left.
-        enough = min(self._typical(entry), TARGET * entry.kind.latency_objective_ns)
+        enough = min(self._typical(entry), TARGET * entry.request_class.latency_objective_ns)
         hasty = outcome.result is AttemptResult.TIMEOUT and outcome.elapsed_ns < enough
         result = AttemptResult.CANCELLED if self._note_connection(now, attempt) or hasty else outcome.result
         # Where servers report, only a report tells that one is idle again: an answer may come without one.
         if outcome.result is AttemptResult.OK and "utilization" not in self._settings.load_report_fields:
-            self._set_busy(attempt.backend, 0.0)
+            self._set_busy(attempt.status, 0.0)
         self._answered += (
-            outcome.result is AttemptResult.OK and self._warmth(now, attempt.backend.entry) >= 1.0
+            outcome.result is AttemptResult.OK and self._warmth(now, attempt.status.endpoint) >= 1.0
         )
-        self._note_report(attempt.backend, outcome.load_report)
-        if outcome.result is AttemptResult.TIMEOUT and not attempt.backend.ejected_until:
-            until = now + min(outcome.elapsed_ns, entry.kind.latency_objective_ns)
+        self._note_report(attempt.status, outcome.load_report)
+        if outcome.result is AttemptResult.TIMEOUT and not attempt.status.ejected_until_ns:
+            until = now + min(outcome.elapsed_ns, entry.request_class.latency_objective_ns)
             # A server may go on with work that nobody waits for: freed at once, it would be filled again.
-            self._do_later(until, partial(self._release, attempt.backend, entry))
+            self._do_later(until, partial(self._release, attempt.status, entry))
         else:
-            self._release(attempt.backend, entry, now)
-        self._detect_outlier(now, attempt.backend, result, entry.request.class_index)
-        entry.closed |= outcome.is_answered
-        again = not entry.closed and self._try_again(now, entry, outcome.result)
+            self._release(attempt.status, entry, now)
+        self._detect_outlier(now, attempt.status, result, entry.request.class_index)
+        entry.is_closed |= outcome.is_answered
+        again = not entry.is_closed and self._try_again(now, entry, outcome.result)
         if result is outcome.result:
             self._sample(now, entry, attempt, outcome.elapsed_ns, again)
-        if not entry.closed and not again:
+        if not entry.is_closed and not again:
             self._end(entry)
         self._forget_if_done(now, entry)
 
-    def _typical(self, entry: Open) -> float:
-        return self._breakers[entry.request.class_index].typical
+    def _typical(self, entry: ActiveRequest) -> float:
+        return self._breakers[entry.request.class_index].typical_ns
 
-    def _sample(self, now: int, entry: Open, attempt: Attempt, elapsed: int, again: bool) -> None:
-        if attempt.backend.ejected_until or self._warmth(now, attempt.backend.entry) < 1.0:
+    def _sample(self, now: int, entry: ActiveRequest, attempt: Attempt, elapsed: int, again: bool) -> None:
+        if attempt.status.ejected_until_ns or self._warmth(now, attempt.status.endpoint) < 1.0:
             return  # it tells of that server: silent and cold ones would close the breaker for all the others
         breaker = self._breakers[entry.request.class_index]
         if attempt.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
             backend, answered, ratio = (
-                attempt.backend,
+                attempt.status,
                 attempt.result is AttemptResult.OK,
-                elapsed / breaker.typical,
+                elapsed / breaker.typical_ns,
             )
-            backend.slowness += PACE_WEIGHT * (ratio - backend.slowness)
+            backend.waiting_time_ratio += PACE_WEIGHT * (ratio - backend.waiting_time_ratio)
             if answered:
-                backend.pace += PACE_WEIGHT * (ratio - backend.pace)
-            if backend.slowness < SLOW_ABOVE:
-                breaker.samples.append(elapsed if answered else CENSORED * elapsed)
+                backend.response_time_ratio += PACE_WEIGHT * (ratio - backend.response_time_ratio)
+            if backend.waiting_time_ratio < SLOW_ABOVE:
+                breaker.samples_ns.append(elapsed if answered else CENSORED * elapsed)
         elif (
             attempt.result is AttemptResult.REJECTED and not again
         ):  # a fast failure, but no sign of a fast server
-            breaker.samples.append(CENSORED * entry.kind.latency_objective_ns)
+            breaker.samples_ns.append(CENSORED * entry.request_class.latency_objective_ns)
 
-    def _release(self, backend: Backend, entry: Open, now: int) -> None:
+    def _release(self, backend: EndpointStatus, entry: ActiveRequest, now: int) -> None:
         backend.in_flight -= 1
         self._in_flight.add(now, -1)
         self._breakers[entry.request.class_index].in_flight.add(now, -1)
 
-    def _try_again(self, now: int, entry: Open, result: AttemptResult) -> bool:
+    def _try_again(self, now: int, entry: ActiveRequest, result: AttemptResult) -> bool:
         """True if the request needs no final answer now: it went out again, or is out still."""
         if any(attempt.result is None for attempt in entry.attempts):
             return True
-        left = entry.useful_until - now
+        left = entry.useful_until_ns - now
         if left <= RETRY_LEAST * self._typical(entry) or len(entry.attempts) >= self._settings.max_attempts:
             return False
         nothing_arrived = result in (AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
@@ -554,33 +473,37 @@
         self._send(now, entry, backend)
         return True
 
-    def _end(self, entry: Open) -> None:
-        entry.closed = True
-        if entry.may_refuse():
+    def _end(self, entry: ActiveRequest) -> None:
+        entry.is_closed = True
+        if entry.may_reject():
             self._refuse(entry)
         else:
             self._actions.append(api.Fail(entry.request.id))
 
-    def _refuse(self, entry: Open) -> None:
+    def _refuse(self, entry: ActiveRequest) -> None:
         # Past its aim an answer is worth nothing, and who comes back for one takes the room of another.
         most = self._settings.max_retry_after_ns
-        wait = min(entry.kind.latency_objective_ns, most) if entry.kind.late_weight_ratio else most
+        wait = (
+            min(entry.request_class.latency_objective_ns, most)
+            if entry.request_class.late_weight_ratio
+            else most
+        )
         self._actions.append(api.Reject(entry.request.id, wait if self._settings.sends_retry_after else 0))
 
     def _close(self, now: int, event: api.ClientDisconnected) -> None:
         if entry := self._open.get(event.request_id):
-            entry.useful_until = now
-            entry.closed |= not event.is_half_closed
+            entry.useful_until_ns = now
+            entry.is_closed |= not event.is_half_closed
             self._give_up_waiting(entry, now)
 
-    def _forget_if_done(self, now: int, entry: Open) -> None:
-        done = entry.is_over() and self._open.pop(entry.request.id, None) is not None
+    def _forget_if_done(self, now: int, entry: ActiveRequest) -> None:
+        done = entry.is_complete() and self._open.pop(entry.request.id, None) is not None
         if done and entry.request.key in self._key_queues:
             self._send_next_of_key(entry.request.key, now)
 
     # Order.
 
-    def _enqueue(self, now: int, entry: Open) -> bool:
+    def _enqueue(self, now: int, entry: ActiveRequest) -> bool:
         """Take the key's turn, or wait for it where it will come in time: refused now, the client may
         find another node, whose queue for this key is its own."""
         key = entry.request.key
@@ -591,47 +514,47 @@
             self._key_queues[key] = turns = KeyQueue()
         else:
             typical = int(self._typical(entry))
-            ahead = sum(1 for other in turns.entries if not other.closed) * typical
-            latest = entry.useful_until - typical
-            if max(now, turns.cools_until) + ahead > latest:
+            ahead = sum(1 for other in turns.requests if not other.is_closed) * typical
+            latest = entry.useful_until_ns - typical
+            if max(now, turns.cooldown_until_ns) + ahead > latest:
                 return False
             self._open[entry.request.id] = entry
             self._do_later(latest, partial(self._give_up_waiting, entry))
             self._actions.append(api.SetTimer(latest, api.TimerId.DEFERRED))
-        turns.entries.append(entry)
+        turns.requests.append(entry)
         return True
 
-    def _give_up_waiting(self, entry: Open, now: int) -> None:
-        if not entry.attempts and not entry.closed:
+    def _give_up_waiting(self, entry: ActiveRequest, now: int) -> None:
+        if not entry.attempts and not entry.is_closed:
             self._end(entry)
         self._forget_if_done(now, entry)
 
-    def _cool_down(self, now: int, entry: Open, result: AttemptResult) -> None:
+    def _cool_down(self, now: int, entry: ActiveRequest, result: AttemptResult) -> None:
         """An attempt without an answer may still run: the key's next request waits for a while."""
-        turns = self._key_queues.get(entry.request.key) if entry.kind.ordered_by_key else None
+        turns = self._key_queues.get(entry.request.key) if entry.request_class.ordered_by_key else None
         if turns is not None and result in (
             AttemptResult.TIMEOUT,
             AttemptResult.RESET,
             AttemptResult.CANCELLED,
         ):
-            turns.cools_until = now + self._settings.key_cooldown_ns
+            turns.cooldown_until_ns = now + self._settings.key_cooldown_ns
 
     def _send_next_of_key(self, key: int, now: int) -> None:
         """Send the first that waits, once all before it are over; forget a key that nobody waits for."""
         turns = self._key_queues.get(key)
         while turns is not None:
-            while turns.entries and turns.entries[0].is_over():
-                turns.entries.popleft()
-            if turns.entries and turns.entries[0].attempts:
+            while turns.requests and turns.requests[0].is_complete():
+                turns.requests.popleft()
+            if turns.requests and turns.requests[0].attempts:
                 return
-            if now < turns.cools_until:
-                self._do_later(turns.cools_until, partial(self._send_next_of_key, key))
-                self._actions.append(api.SetTimer(turns.cools_until, api.TimerId.DEFERRED))
+            if now < turns.cooldown_until_ns:
+                self._do_later(turns.cooldown_until_ns, partial(self._send_next_of_key, key))
+                self._actions.append(api.SetTimer(turns.cooldown_until_ns, api.TimerId.DEFERRED))
                 return
-            if not turns.entries:
+            if not turns.requests:
                 del self._key_queues[key]
                 return
-            first = turns.entries[0]
+            first = turns.requests[0]
             if self._has_room(now, first.request) and self._send_first(now, first):
                 return
             self._end(first)
@@ -639,25 +562,25 @@
 
     # The choice of a server.
 
-    def _choose(self, now: int, entry: Open) -> Backend | None:
-        seen = {attempt.backend for attempt in entry.attempts}
+    def _choose(self, now: int, entry: ActiveRequest) -> EndpointStatus | None:
+        seen = {attempt.status for attempt in entry.attempts}
         # After a failed connection any server with an idle one is better than the less loaded of two.
         unconnected = bool(seen) and entry.attempts[-1].result is AttemptResult.CONNECT_FAILED
         wanted = DRAWS if unconnected else 2
-        pair: list[Backend] = []
-        full: list[Backend] = []
+        pair: list[EndpointStatus] = []
+        full: list[EndpointStatus] = []
         for backend in self._preferred(entry):
-            if backend in seen or (entry.attempts and not entry.may_send_to(backend.entry, now)):
+            if backend in seen or (entry.attempts and not entry.may_send_to(backend.endpoint, now)):
                 continue
             seen.add(backend)
             if self._usable(now, backend):
-                is_full = backend.fullness.get(entry.request.class_index, 0.0) > FULL_ABOVE
+                is_full = backend.rejection_rates.get(entry.request.class_index, 0.0) > FULL_ABOVE
                 (full if is_full else pair).append(backend)
                 if len(pair) == wanted or len(full) == FULL_LOOKS:
                     break
         return min(pair or full, key=partial(self._load, now, entry.request.class_index), default=None)
 
-    def _preferred(self, entry: Open) -> Iterator[Backend]:
+    def _preferred(self, entry: ActiveRequest) -> Iterator[EndpointStatus]:
         """Servers in the order of this request's preference; some come more than once. Every other one is of
         the own zone: with no or one request in flight the first gets it, and at random most would cross."""
         if ready := self._ready:
@@ -669,7 +592,7 @@
                 place = mix64(key + draw)
                 backend = find(place, not (draw - first) % 2)
                 if backend is not None:
-                    share = kinds[backend.entry.hardware_type].share
+                    share = kinds[backend.endpoint.hardware_type].hash_ratio
                     if share >= 1.0 or place >> 44 < share * HASH_RATIO_SCALE:
                         yield backend
             turn = mix64(key) % len(ready)  # the head of the list would get all that finds no other
@@ -681,14 +604,14 @@
         sees each too seldom, but its kind often enough. Keys that a kind gives up keep their other places.
         Guards against any lasting difference between groups; wrong only if their reports mislead."""
         kinds = list(self._kinds.values())
-        told = min((kind.reports for kind in kinds), default=0) >= KIND_REPORTS
+        told = min((kind.report_count for kind in kinds), default=0) >= KIND_REPORTS
         if not told or not self._candidates.has_equal_weights():
             return
         for kind in kinds:
-            kind.share /= max(KIND_LEAST, kind.busy) ** KIND_GAIN
-        most = max(kind.share for kind in kinds)
+            kind.hash_ratio /= max(KIND_LEAST, kind.utilization) ** KIND_GAIN
+        most = max(kind.hash_ratio for kind in kinds)
         for kind in kinds:
-            kind.share = max(KIND_LEAST, kind.share / most)
+            kind.hash_ratio = max(KIND_LEAST, kind.hash_ratio / most)
 
     def _measure_rate(self, now: int) -> None:
         """What warm servers answer: no loss of others makes that more than they can do, as it does with what
@@ -712,38 +635,44 @@
         as after a start amid a release: the fleet is taken to be able to do, warm, what it is asked for, each
         server its even part of this node's arrivals. Too much only where more is asked for than the fleet can
         do; the fall multiple and the caution leave room for that."""
-        weight = sum(backend.entry.weight for backend in self._ready)
+        weight = sum(backend.endpoint.weight for backend in self._ready)
         return self._arrival_rate / weight if weight else 0.0
 
     def _warm_weight(self, now: int) -> float:
         """Of the servers that are ready. Looks at those that were cold when it last did."""
-        for backend in [one for one in self._cold if self._warmth(now, one.entry) >= 1.0]:
+        for backend in [one for one in self._cold if self._warmth(now, one.endpoint) >= 1.0]:
             del self._cold[backend]
-            backend.warm_units = to_weight_units(backend.entry.weight)
-            self._warm_units += backend.warm_units
+            backend.warm_weight_units = to_weight_units(backend.endpoint.weight)
+            self._warm_units += backend.warm_weight_units
         return self._warm_units / WEIGHT_UNITS
 
-    def _load(self, now: int, class_index: int, backend: Backend) -> float:
+    def _load(self, now: int, class_index: int, backend: EndpointStatus) -> float:
         """In requests in flight; what the server itself told adds to this node's own. Where new connections
         fail or take long, one that stands is worth a detour."""
         load = float(backend.in_flight)
-        if backend.busy > BUSY_ABOVE:
-            load += (backend.busy - BUSY_ABOVE) / (1.0 - BUSY_ABOVE)
-        if fullness := backend.fullness.get(class_index):
+        if backend.utilization > BUSY_ABOVE:
+            load += (backend.utilization - BUSY_ABOVE) / (1.0 - BUSY_ABOVE)
+        if fullness := backend.rejection_rates.get(class_index):
             load += FULL_COUNTS * round(fullness, 1)  # no trace may break ties
         if self._connect_failures > CONNECT_LEAST and not self._standing(now, backend):
             load += CONNECT_COUNTS * self._connect_failures
-        return load * backend.pace / (backend.entry.weight * self._kinds[backend.entry.hardware_type].share)
+        return (
+            load
+            * backend.response_time_ratio
+            / (backend.endpoint.weight * self._kinds[backend.endpoint.hardware_type].hash_ratio)
+        )
 
-    def _usable(self, now: int, backend: Backend) -> bool:
-        if backend.ejected_until and (backend.trial or now < backend.ejected_until):
+    def _usable(self, now: int, backend: EndpointStatus) -> bool:
+        if backend.ejected_until_ns and (backend.is_on_trial or now < backend.ejected_until_ns):
             return False
-        if (warmth := self._warmth(now, backend.entry)) >= 1.0:
+        if (warmth := self._warmth(now, backend.endpoint)) >= 1.0:
             return True
-        share = SLOW_START_CAUTION * warmth * (self._rate or self._assumed_rate) * backend.entry.weight
-        backend.tokens = min(SLOW_START_BURST, backend.tokens + share * (now - backend.refilled))
-        backend.refilled = now
-        return backend.tokens >= 1.0 and self._random.random() < self._visits
+        share = SLOW_START_CAUTION * warmth * (self._rate or self._assumed_rate) * backend.endpoint.weight
+        backend.slow_start_tokens = min(
+            SLOW_START_BURST, backend.slow_start_tokens + share * (now - backend.refilled_at_ns)
+        )
+        backend.refilled_at_ns = now
+        return backend.slow_start_tokens >= 1.0 and self._random.random() < self._visits
 
     def _warmth(self, now: int, server: api.Endpoint) -> float:
         """The part of its work that a server does at least, by the time since its start."""
@@ -754,23 +683,23 @@
 
     # Connections.
 
-    def _standing(self, now: int, backend: Backend) -> int:
+    def _standing(self, now: int, backend: EndpointStatus) -> int:
         """The idle time of the connection that an attempt would get; 0 if it would need a new one."""
-        idle = now - backend.idle[-1] + 1 if backend.idle else 0
+        idle = now - backend.idle_since_ns[-1] + 1 if backend.idle_since_ns else 0
         trusted = self._settings.idle_timeout_ns
         if self._distrusted and self._connect_failures <= self._lost_idle:  # else a new one is no better
             doublings = min(32.0, (now - self._distrusted) / TRUST_DOUBLES)
             trusted = min(trusted, int(self._trusted_idle * 2**doublings))
         return idle if idle <= trusted else 0
 
-    def _connect(self, now: int, backend: Backend) -> int:
+    def _connect(self, now: int, backend: EndpointStatus) -> int:
         """Connections that are not to be trusted are closed before an attempt: what is sent on one might
         be lost, and may not be sent again. Needless, it costs a handshake."""
         if idle := self._standing(now, backend):
-            backend.idle.pop()
-        elif backend.idle:
-            backend.idle.clear()
-            self._actions.append(api.CloseIdleConnections(backend.entry.id))
+            backend.idle_since_ns.pop()
+        elif backend.idle_since_ns:
+            backend.idle_since_ns.clear()
+            self._actions.append(api.CloseIdleConnections(backend.endpoint.id))
         return idle
 
     def _note_connection(self, now: int, attempt: Attempt) -> bool:
@@ -785,58 +714,63 @@
             AttemptResult.REJECTED,
             AttemptResult.CLIENT_ERROR,
         ):
-            attempt.backend.idle.append(now)
-        if not attempt.idle:
+            attempt.status.idle_since_ns.append(now)
+        if not attempt.idle_ns:
             failed = attempt.result is AttemptResult.CONNECT_FAILED
             self._connect_failures += LOST_WEIGHT * (failed - self._connect_failures)
-        if attempt.idle <= IDLE_SURE:
+        if attempt.idle_ns <= IDLE_SURE:
             self._lost_others += LOST_WEIGHT * (lost - self._lost_others)
             return False
         weight = SILENT_WEIGHT if attempt.result is AttemptResult.TIMEOUT else LOST_WEIGHT
         self._lost_idle += weight * (lost - self._lost_idle)
         if not lost or self._lost_idle < max(LOST_ABOVE, LOST_TIMES_NEW * self._lost_others):
             return False
-        self._trusted_idle, self._distrusted = max(IDLE_SURE, attempt.idle // 2), now
+        self._trusted_idle, self._distrusted = max(IDLE_SURE, attempt.idle_ns // 2), now
         return True
 
     # The health of servers.
 
-    def _note_report(self, backend: Backend, report: tuple[float, ...]) -> None:
+    def _note_report(self, backend: EndpointStatus, report: tuple[float, ...]) -> None:
         values = dict(zip(self._settings.load_report_fields, report, strict=False))
         if "utilization" in values:
             self._note_busy(backend, min(1.0, max(0.0, values["utilization"])))
 
-    def _note_busy(self, backend: Backend, busy: float) -> None:
-        kind = self._kinds[backend.entry.hardware_type]
+    def _note_busy(self, backend: EndpointStatus, busy: float) -> None:
+        kind = self._kinds[backend.endpoint.hardware_type]
         self._set_busy(backend, busy)
-        kind.reports += "utilization" in self._settings.load_report_fields
-        kind.busy += max(KIND_WEIGHT, 1 / max(1, kind.reports)) * (busy - kind.busy)
+        kind.report_count += "utilization" in self._settings.load_report_fields
+        kind.utilization += max(KIND_WEIGHT, 1 / max(1, kind.report_count)) * (busy - kind.utilization)
 
-    def _set_busy(self, backend: Backend, busy: float) -> None:
-        if backend.ready:
-            self._busy += int(busy * WEIGHT_UNITS) - int(backend.busy * WEIGHT_UNITS)
-        backend.busy = busy
+    def _set_busy(self, backend: EndpointStatus, busy: float) -> None:
+        if backend.is_ready:
+            self._busy += int(busy * WEIGHT_UNITS) - int(backend.utilization * WEIGHT_UNITS)
+        backend.utilization = busy
 
     def _fade_fullness(self) -> None:
         for backend in list(self._filled):
-            for index in backend.fullness if backend.ready else ():
-                backend.fullness[index] *= FULL_FADES
-            if max(backend.fullness.values()) < FULL_TRACE or backend.entry.state is EndpointState.REMOVED:
-                backend.fullness.clear()
+            for index in backend.rejection_rates if backend.is_ready else ():
+                backend.rejection_rates[index] *= FULL_FADES
+            if (
+                max(backend.rejection_rates.values()) < FULL_TRACE
+                or backend.endpoint.state is EndpointState.REMOVED
+            ):
+                backend.rejection_rates.clear()
                 del self._filled[backend]
 
-    def _detect_outlier(self, now: int, backend: Backend, result: AttemptResult, class_index: int) -> None:
-        if result is AttemptResult.TIMEOUT and not backend.ejected_until:
+    def _detect_outlier(
+        self, now: int, backend: EndpointStatus, result: AttemptResult, class_index: int
+    ) -> None:
+        if result is AttemptResult.TIMEOUT and not backend.ejected_until_ns:
             self._note_busy(backend, 1.0)  # the busiest don't answer
         # A full server answers fast and has nothing of ours: by load in flight it would look best.
         if result in (AttemptResult.OK, AttemptResult.REJECTED):
-            full = backend.fullness.get(class_index, 0.0)
+            full = backend.rejection_rates.get(class_index, 0.0)
             if full or result is AttemptResult.REJECTED:
-                backend.fullness[class_index] = full + FULL_WEIGHT * (
+                backend.rejection_rates[class_index] = full + FULL_WEIGHT * (
                     (result is AttemptResult.REJECTED) - full
                 )
                 self._filled[backend] = None
-        trial, backend.trial = backend.trial, False
+        trial, backend.is_on_trial = backend.is_on_trial, False
         if result in (
             AttemptResult.CANCELLED,
             AttemptResult.NOT_SENT,
@@ -845,64 +779,66 @@
         ):
             return
         if result is AttemptResult.OK:
-            backend.answered = now
-        elif result is AttemptResult.CONNECT_FAILED and now - backend.answered < ANSWERED_LATELY:
+            backend.answered_at_ns = now
+        elif result is AttemptResult.CONNECT_FAILED and now - backend.answered_at_ns < ANSWERED_LATELY:
             return  # it serves on standing connections: slow to connect to, not down
         failed = float(result is not AttemptResult.OK)
         # A node that sees a server seldom can't wait for a second failure, nor can it for a second success.
-        seldom = backend.silence(now) >= ANSWERED_LATELY and result is not AttemptResult.CONNECT_FAILED
+        seldom = backend.silence_ns(now) >= ANSWERED_LATELY and result is not AttemptResult.CONNECT_FAILED
         weight = EJECT_ABOVE if seldom else FAIL_WEIGHT
-        if result in (AttemptResult.TIMEOUT, AttemptResult.RESET) and now - backend.answered < ANSWERS:
+        if result in (AttemptResult.TIMEOUT, AttemptResult.RESET) and now - backend.answered_at_ns < ANSWERS:
             weight = SLOW_WEIGHT
-        backend.failures += weight * (failed - backend.failures)
+        backend.failure_rate += weight * (failed - backend.failure_rate)
         self._fleet_failures += FLEET_WEIGHT * (failed - self._fleet_failures)
         self._count_ejected(backend)
         if trial:
             if failed:
-                backend.doublings = min(DOUBLINGS, backend.doublings + 1)
+                backend.ejection_doublings = min(DOUBLINGS, backend.ejection_doublings + 1)
                 self._eject(now, backend)
             else:
                 self._reinstate(backend)
-        elif failed and not backend.ejected_until and self._may_eject(backend, result):
+        elif failed and not backend.ejected_until_ns and self._may_eject(backend, result):
             self._eject(now, backend)
 
-    def _may_eject(self, backend: Backend, result: AttemptResult) -> bool:
+    def _may_eject(self, backend: EndpointStatus, result: AttemptResult) -> bool:
         part = UNREACHABLE_PART if result is AttemptResult.CONNECT_FAILED else EJECT_PART
-        outlier = backend.failures >= EJECT_TIMES_FLEET * self._fleet_failures
-        if backend.failures < EJECT_ABOVE or not (outlier or result is AttemptResult.CONNECT_FAILED):
+        outlier = backend.failure_rate >= EJECT_TIMES_FLEET * self._fleet_failures
+        if backend.failure_rate < EJECT_ABOVE or not (outlier or result is AttemptResult.CONNECT_FAILED):
             return False
         most = part * len(self._ready)
         if 1 + len(self._ejected) > most:
             mildest = self._mildest_ejected()
-            if mildest is not None and mildest.failures < backend.failures - EJECT_WORSE:
+            if mildest is not None and mildest.failure_rate < backend.failure_rate - EJECT_WORSE:
                 self._reinstate(mildest)  # time-outs in a busy moment must not keep in one that fails all
         return 1 + len(self._ejected) <= most
 
-    def _mildest_ejected(self) -> Backend | None:
+    def _mildest_ejected(self) -> EndpointStatus | None:
         """The lowest id, where several failed as little."""
         heap = self._by_failures
         while heap:
             backend = self._backends.get(heap[0][1])
-            if backend in self._ejected and backend is not None and backend.failures == heap[0][0]:
+            if backend in self._ejected and backend is not None and backend.failure_rate == heap[0][0]:
                 return backend
             heappop(heap)
         return None
 
-    def _count_ejected(self, backend: Backend) -> None:
+    def _count_ejected(self, backend: EndpointStatus) -> None:
         """Whenever one is ejected or its failures change."""
-        if backend.ejected_until and backend.ready:
+        if backend.ejected_until_ns and backend.is_ready:
             self._ejected[backend] = None
-            heappush(self._by_failures, (backend.failures, backend.entry.id))
+            heappush(self._by_failures, (backend.failure_rate, backend.endpoint.id))
             if len(self._by_failures) > STALE * (STALE + len(self._ejected)):
-                self._by_failures = sorted((one.failures, one.entry.id) for one in self._ejected)
+                self._by_failures = sorted((one.failure_rate, one.endpoint.id) for one in self._ejected)
 
-    def _reinstate(self, backend: Backend) -> None:
-        backend.forgive()
+    def _reinstate(self, backend: EndpointStatus) -> None:
+        backend.reset_failures()
         self._ejected.pop(backend, None)
 
-    def _eject(self, now: int, backend: Backend) -> None:
-        seldom = min(backend.silence(now), 4 * EJECT_TIME)  # a shorter time would pass without a visit
-        backend.ejected_until = now + self._jittered(max(seldom, EJECT_TIME << backend.doublings), 0.5)
+    def _eject(self, now: int, backend: EndpointStatus) -> None:
+        seldom = min(backend.silence_ns(now), 4 * EJECT_TIME)  # a shorter time would pass without a visit
+        backend.ejected_until_ns = now + self._jittered(
+            max(seldom, EJECT_TIME << backend.ejection_doublings), 0.5
+        )
         self._count_ejected(backend)
 
     # The list of servers.
@@ -917,9 +853,9 @@
         listed = {server.id: server for server in update.endpoints}
         if update.kind is not EndpointUpdateKind.DELTA:
             for backend in self._backends.values():
-                if backend.entry.id not in listed:
-                    backend.entry = backend.entry._replace(state=EndpointState.REMOVED)
-                    self._changed[backend.entry.id] = None
+                if backend.endpoint.id not in listed:
+                    backend.endpoint = backend.endpoint._replace(state=EndpointState.REMOVED)
+                    self._changed[backend.endpoint.id] = None
         for server in listed.values():
             self._enter(now, server)
         self._place_changed()
@@ -947,14 +883,20 @@
             server = server._replace(weight=min(max(server.weight, MIN_WEIGHT), MAX_WEIGHT))
         backend = self._backends.get(server.id)
         if backend is None:
-            self._backends[server.id] = Backend(server, self._first_token(now, server), now, listed=now)
-        elif server == backend.entry:
+            self._backends[server.id] = EndpointStatus(
+                server, self._first_token(now, server), now, listed_at_ns=now
+            )
+        elif server == backend.endpoint:
             return
         else:
-            if server.started_at_ns != backend.entry.started_at_ns:
+            if server.started_at_ns != backend.endpoint.started_at_ns:
                 self._reinstate(backend)
-                backend.tokens, backend.refilled, backend.listed = self._first_token(now, server), now, now
-            backend.entry = server
+                backend.slow_start_tokens, backend.refilled_at_ns, backend.listed_at_ns = (
+                    self._first_token(now, server),
+                    now,
+                    now,
+                )
+            backend.endpoint = server
         self._changed[server.id] = None
 
     def _first_token(self, now: int, server: api.Endpoint) -> float:
@@ -974,8 +916,8 @@
         left = max(0.0, self._settings.overload_multiple / SLOW_START_CAUTION - 1.0)
         self._visits = min(1.0, left * max(0.0, present) / usual) if usual else 1.0
 
-    def _capacity(self, now: int, backend: Backend) -> float:
-        return min(1.0, self._warmth(now, backend.entry)) * backend.entry.weight
+    def _capacity(self, now: int, backend: EndpointStatus) -> float:
+        return min(1.0, self._warmth(now, backend.endpoint)) * backend.endpoint.weight
 
     def _place_changed(self) -> None:
         """Costs what changed, up to a shift within the list of those that are ready."""
@@ -983,38 +925,41 @@
         self._changed.clear()
         came = []
         for backend in changed:
-            ready = backend.entry.state is EndpointState.READY
-            if backend.ready:
+            ready = backend.endpoint.state is EndpointState.READY
+            if backend.is_ready:
                 self._uncount(backend)
                 if not ready:
-                    del self._ready[bisect_left(self._ready, backend.entry.id, key=_id)]
+                    del self._ready[bisect_left(self._ready, backend.endpoint.id, key=_id)]
             elif ready:
                 came.append(backend)
-            backend.ready = ready
+            backend.is_ready = ready
             if ready:
-                self._busy += int(backend.busy * WEIGHT_UNITS)
+                self._busy += int(backend.utilization * WEIGHT_UNITS)
                 self._cold[backend] = None
                 self._count_ejected(backend)
-            elif backend.entry.state is EndpointState.REMOVED:
+            elif backend.endpoint.state is EndpointState.REMOVED:
                 # Attempts hold their server themselves: gone ones would fill this over months.
-                del self._backends[backend.entry.id]
+                del self._backends[backend.endpoint.id]
         if len(came) * MANY > len(self._ready):
             self._ready = sorted(self._ready + came, key=_id)
         else:
             for backend in came:
                 insort(self._ready, backend, key=_id)
         self._candidates.update(
-            {one.entry.id: (one.entry.zone, one.entry.weight, one) if one.ready else None for one in changed}
+            {
+                one.endpoint.id: (one.endpoint.zone, one.endpoint.weight, one) if one.is_ready else None
+                for one in changed
+            }
         )
         self._set_caps()
 
-    def _uncount(self, backend: Backend) -> None:
-        self._busy -= int(backend.busy * WEIGHT_UNITS)
-        self._warm_units -= backend.warm_units
-        backend.warm_units = 0
+    def _uncount(self, backend: EndpointStatus) -> None:
+        self._busy -= int(backend.utilization * WEIGHT_UNITS)
+        self._warm_units -= backend.warm_weight_units
+        backend.warm_weight_units = 0
         for group in (self._cold, self._ejected):
             group.pop(backend, None)
 
 
-def _id(backend: Backend) -> api.EndpointId:
-    return backend.entry.id
+def _id(backend: EndpointStatus) -> api.EndpointId:
+    return backend.endpoint.id
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -9,9 +9,9 @@
 from world import KEYED, MS, SAFE, SECOND, START, UNSAFE, Node, server, settings, whole
 
 from moleport.policy import Balancer
-from moleport.policy import balancer as balance
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
+from moleport.policy.state import REPEAT_TRANSIT_NS
 
 
 def window(node: Node, count: int, elapsed: int, class_index: int = 0) -> None:
@@ -227,7 +227,7 @@
                 if isinstance(send, api.Forward) and (send.endpoint_id in slow) is among_slow:
                     node.end(send, AttemptResult.OK, elapsed)
         node.wait(300 * MS)
-    assert not any(backend.ejected_until for backend in node.balancer._ready)
+    assert not any(backend.ejected_until_ns for backend in node.balancer._ready)
     assert admitted(node) >= 30
 
 
@@ -327,7 +327,7 @@
     node = Node(servers=6)
     closed = {server(number).id for number in range(3)}
     for backend in node.balancer._backends.values():
-        backend.in_flight += 8 * (backend.entry.id not in closed)
+        backend.in_flight += 8 * (backend.endpoint.id not in closed)
     full = Counter[int]()
     for turn in range(40):
         for key in range(1, 7):
@@ -453,10 +453,10 @@
     assert isinstance(first, api.Forward)
     node.end(first, AttemptResult.ERROR)
     backend = node.balancer._backends[first.endpoint_id]
-    assert not backend.ejected_until
+    assert not backend.ejected_until_ns
     node.balancer._detect_outlier(node.now, backend, AttemptResult.ERROR, 0)
-    assert backend.ejected_until
-    assert backend.ejected_until - node.now <= 2 * SECOND
+    assert backend.ejected_until_ns
+    assert backend.ejected_until_ns - node.now <= 2 * SECOND
 
 
 def test_broken_connections_do_not_eject_a_server_that_answers_others() -> None:
@@ -473,11 +473,11 @@
         AttemptResult.RESET,
     ):
         node.balancer._detect_outlier(node.now, backend, result, 0)
-    assert not backend.ejected_until
+    assert not backend.ejected_until_ns
     node.now += SECOND  # one that answers nobody may be down
     for _ in range(2):
         node.balancer._detect_outlier(node.now, backend, AttemptResult.RESET, 0)
-    assert backend.ejected_until
+    assert backend.ejected_until_ns
 
 
 def test_a_trial_whose_connection_fails_is_over() -> None:
@@ -490,8 +490,8 @@
         node.end(node.ask(2, 42)[0], AttemptResult.ERROR)  # type: ignore[arg-type]
     node.wait(3 * SECOND)
     (trial,) = node.ask(2, 42)
-    assert isinstance(trial, api.Forward) and trial.endpoint_id == home and backend.trial
-    backend.answered = node.now  # by another attempt
+    assert isinstance(trial, api.Forward) and trial.endpoint_id == home and backend.is_on_trial
+    backend.answered_at_ns = node.now  # by another attempt
     node.end(trial, AttemptResult.CONNECT_FAILED)
     assert node.serve(42) == home
 
@@ -513,12 +513,12 @@
                 node.end(send, result, 400 * MS)
             else:
                 node.end(send, AttemptResult.OK, 100 * MS)
-    assert not backend.ejected_until and backend.failures > 0.2
+    assert not backend.ejected_until_ns and backend.failure_rate > 0.2
     node.now += SECOND  # silence is another matter
     for _ in range(3):
         node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
         node.balancer._detect_outlier(node.now, backend, AttemptResult.TIMEOUT, 0)
-    assert backend.ejected_until
+    assert backend.ejected_until_ns
 
 
 def test_a_failed_trial_ejects_for_longer() -> None:
@@ -548,17 +548,17 @@
     node = Node(servers=8)
     mild, milder, bad = [node.balancer._backends[name] for name in sorted(node.balancer._backends)][:3]
     for backend in (milder, mild):
-        backend.answered = node.now
-        while not backend.ejected_until:
+        backend.answered_at_ns = node.now
+        while not backend.ejected_until_ns:
             node.balancer._detect_outlier(node.now, backend, AttemptResult.TIMEOUT, 0)
-    mild.failures += 0.1
+    mild.failure_rate += 0.1
     for _ in range(3):
         node.balancer._detect_outlier(node.now, bad, AttemptResult.ERROR, 0)
-        assert not bad.ejected_until  # as bad as those that are out
+        assert not bad.ejected_until_ns  # as bad as those that are out
     for _ in range(3):
         node.balancer._detect_outlier(node.now, bad, AttemptResult.ERROR, 0)
-    assert bad.ejected_until and mild.ejected_until
-    assert not milder.ejected_until
+    assert bad.ejected_until_ns and mild.ejected_until_ns
+    assert not milder.ejected_until_ns
 
 
 def test_keys_go_to_servers_of_the_own_zone_while_these_have_nothing_to_do() -> None:
@@ -694,13 +694,13 @@
         node.wait(100 * MS)
         again = node.end(again, AttemptResult.RESET)[-1]
         assert isinstance(again, api.Forward)
-        assert node.now < again.write_deadline_ns == begun + kind.deduplication_window_ns - balance.REPEAT_WAY
+        assert node.now < again.write_deadline_ns == begun + kind.deduplication_window_ns - REPEAT_TRANSIT_NS
     assert decided < begun
     (unsafe,) = node.ask(1, 5)
     assert isinstance(unsafe, api.Forward) and unsafe.write_deadline_ns == 0
 
 
-@pytest.mark.parametrize(("left", "sent"), [(balance.REPEAT_WAY + 1, True), (balance.REPEAT_WAY, False)])
+@pytest.mark.parametrize(("left", "sent"), [(REPEAT_TRANSIT_NS + 1, True), (REPEAT_TRANSIT_NS, False)])
 def test_no_keyed_repeat_is_sent_where_its_window_may_end_on_its_way(left: int, sent: bool) -> None:
     kind = api.RequestClass(
         SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ALL, 300 * MS
@@ -991,10 +991,10 @@
         assert isinstance(send, api.Forward)
         if len(node.sent[send.request_id]) == 1:
             node.end(send, AttemptResult.OK)
-    assert not [one for one in node.balancer._ready if one.ejected_until]
+    assert not [one for one in node.balancer._ready if one.ejected_until_ns]
     (send,) = node.ask(0, 3)
     assert isinstance(send, api.Forward) and send.endpoint_id in standing
-    connected = {name for name, one in node.balancer._backends.items() if one.idle}
+    connected = {name for name, one in node.balancer._backends.items() if one.idle_since_ns}
     (again,) = node.end(send, AttemptResult.CONNECT_FAILED)
     assert isinstance(again, api.Forward) and again.endpoint_id in connected
 
@@ -1046,7 +1046,7 @@
         if isinstance(send, api.Forward):
             node.end(send, AttemptResult.TIMEOUT, 500 * MS)
         node.wait(400 * MS)
-    assert all(kind.share > 0.0 for kind in node.balancer._kinds.values())
+    assert all(kind.hash_ratio > 0.0 for kind in node.balancer._kinds.values())
 
 
 def test_no_further_attempt_once_an_answer_would_be_worth_nothing() -> None:
@@ -1080,7 +1080,7 @@
         assert isinstance(
             node.end(send, AttemptResult.REJECTED, 460 * MS)[0], api.Reject
         )  # 40 ms: too little
-    assert not any(one.ejected_until or one.busy for one in node.balancer._backends.values())
+    assert not any(one.ejected_until_ns or one.utilization for one in node.balancer._backends.values())
 
 
 @pytest.mark.parametrize("report", [(), (0.9,)])
@@ -1092,7 +1092,7 @@
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Forward)
     node.end(send, AttemptResult.OK, report=report)
-    assert node.balancer._backends[send.endpoint_id].busy == 0.9
+    assert node.balancer._backends[send.endpoint_id].utilization == 0.9
 
 
 @pytest.mark.parametrize(
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -109,7 +109,7 @@
 def test_a_request_that_finds_only_full_servers_does_not_look_at_all_of_them() -> None:
     node = fleet(1500)
     for backend in node.balancer._backends.values():
-        backend.fullness[0] = 1.0
+        backend.rejection_rates[0] = 1.0
     assert operations(lambda: node.ask(0, 7)) < 25_000
 
 
@@ -176,7 +176,7 @@
         whole(*(server(n)._replace(weight=weights[n % len(weights)], hardware_type=n % 2) for n in range(24)))
     )
     for kind in node.balancer._kinds.values():
-        kind.share = 0.1
+        kind.hash_ratio = 0.1
     for turn in range(3):
         for key in range(1, 200):
             send = node.ask(0, key + 1000 * turn)[-1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,8 +12,8 @@
 from world import BASE, MS, Game, RuleBroken, settings
 
 from moleport.policy import Balancer
-from moleport.policy import balancer as balance
 from moleport.policy import interface as api
+from moleport.policy.state import ActiveRequest
 
 SHAPES = st.fixed_dictionaries(
     {
@@ -83,12 +83,12 @@
 
 
 def test_the_checker_sees_an_effect_that_may_happen_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balance.Open, "may_send_to", lambda self, server, now: True)
+    monkeypatch.setattr(ActiveRequest, "may_send_to", lambda self, server, now: True)
     assert broken_rule(RULES) == "duplicate"
 
 
 def test_the_checker_sees_a_refusal_that_invites_a_second_effect(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balance.Open, "may_refuse", lambda self: True)
+    monkeypatch.setattr(ActiveRequest, "may_reject", lambda self: True)
     assert broken_rule(RULES) == "duplicate"
 
 
@@ -123,7 +123,7 @@
     def copy(self: Balancer, now: int, outcome: api.AttemptOutcome) -> None:
         settle(self, now, outcome)
         for entry in list(self._open.values()):
-            if entry.kind.idempotency is api.Idempotency.IDEMPOTENT and not entry.closed:
+            if entry.request_class.idempotency is api.Idempotency.IDEMPOTENT and not entry.is_closed:
                 self._send_first(now, entry)
 
     monkeypatch.setattr(Balancer, "_settle", copy)
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -55,10 +55,10 @@
     """In a cut of half the fleet each failure went through the list."""
     node = fleet(2000)
     for backend in node.balancer._ready[:900]:
-        backend.failures = 0.9
+        backend.failure_rate = 0.9
         node.balancer._eject(node.now, backend)
     failing = node.balancer._ready[1500]
-    failing.failures = 0.8
+    failing.failure_rate = 0.8
     assert operations(lambda: node.balancer._may_eject(failing, AttemptResult.TIMEOUT)) < 2000
     assert not node.balancer._may_eject(failing, AttemptResult.TIMEOUT)
     assert node.balancer._may_eject(failing, AttemptResult.CONNECT_FAILED)
@@ -68,13 +68,13 @@
     node = Node(servers=12)
     ready = node.balancer._ready
     for backend, failures in zip(ready, (0.9, 0.6, 0.6), strict=False):
-        backend.failures = failures
+        backend.failure_rate = failures
         node.balancer._eject(node.now, backend)
-    ready[5].failures = 0.8
+    ready[5].failure_rate = 0.8
     assert not node.balancer._may_eject(ready[5], AttemptResult.TIMEOUT)  # not that much worse
-    ready[5].failures = 1.0
+    ready[5].failure_rate = 1.0
     assert node.balancer._may_eject(ready[5], AttemptResult.TIMEOUT)
-    assert [bool(one.ejected_until) for one in ready[:3]] == [True, False, True]  # the lower id of two
+    assert [bool(one.ejected_until_ns) for one in ready[:3]] == [True, False, True]  # the lower id of two
 
 
 def test_an_ejected_server_that_drains_and_returns_is_counted_while_it_is_ready() -> None:
@@ -93,13 +93,13 @@
     node.end(send, AttemptResult.REJECTED)
     backend = node.balancer._ready[0]
     node.tell(TICK)
-    assert backend.fullness[0] == pytest.approx(0.2 * 0.95)
+    assert backend.rejection_rates[0] == pytest.approx(0.2 * 0.95)
     node.tell(delta(server(0, EndpointState.DRAINING)))
     node.tell(TICK)
-    assert backend.fullness[0] == pytest.approx(0.2 * 0.95)
+    assert backend.rejection_rates[0] == pytest.approx(0.2 * 0.95)
     node.tell(delta(server(0)))
     node.wait(70 * SECOND)
-    assert not node.balancer._filled and not backend.fullness
+    assert not node.balancer._filled and not backend.rejection_rates
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -109,16 +109,16 @@
     game = Game(balancer, rules, Random(seed))
     for _ in range(5):
         game.play(steps=120)
-        ready = [one for one in balancer._backends.values() if one.entry.state is EndpointState.READY]
-        assert balancer._ready == sorted(ready, key=lambda one: one.entry.id)
-        assert balancer._busy == sum(int(one.busy * WEIGHT_UNITS) for one in ready)
-        assert set(balancer._ejected) == {one for one in ready if one.ejected_until}
+        ready = [one for one in balancer._backends.values() if one.endpoint.state is EndpointState.READY]
+        assert balancer._ready == sorted(ready, key=lambda one: one.endpoint.id)
+        assert balancer._busy == sum(int(one.utilization * WEIGHT_UNITS) for one in ready)
+        assert set(balancer._ejected) == {one for one in ready if one.ejected_until_ns}
         for backend in balancer._ejected:
-            assert (backend.failures, backend.entry.id) in balancer._by_failures
-        warm = [one for one in ready if balancer._warmth(game.now, one.entry) >= 1.0]
-        assert balancer._warm_weight(game.now) == sum(one.entry.weight for one in warm)
+            assert (backend.failure_rate, backend.endpoint.id) in balancer._by_failures
+        warm = [one for one in ready if balancer._warmth(game.now, one.endpoint) >= 1.0]
+        assert balancer._warm_weight(game.now) == sum(one.endpoint.weight for one in warm)
         assert set(balancer._cold) == set(ready) - set(warm)
-        assert set(balancer._filled) >= {one for one in ready if any(one.fullness.values())}
+        assert set(balancer._filled) >= {one for one in ready if any(one.rejection_rates.values())}
         assert len(balancer._candidates) == len(ready)
 
 
@@ -183,7 +183,7 @@
     node = Node(servers=12)
     backend = node.balancer._ready[3]
     for turn in range(3000):
-        backend.failures = 0.5 + turn / 10_000
+        backend.failure_rate = 0.5 + turn / 10_000
         node.balancer._eject(node.now, backend)
     assert len(node.balancer._by_failures) < 100
 
@@ -202,7 +202,7 @@
     )
     balancer = Node(settings(classes=kinds, weight_by_work=bool(seed % 2)), servers=6).balancer
     for breaker in balancer._breakers:
-        breaker.alpha = random.choice((0.0, 1e8, 3e8))
+        breaker.ns_per_request = random.choice((0.0, 1e8, 3e8))
     balancer._set_caps()
     thresholds = [breaker.threshold(balancer._start_cap()) for breaker in balancer._breakers]
     for index, cap in enumerate(balancer._caps):
