--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -9,7 +9,7 @@
 
 from bisect import bisect_left, insort
 from collections import defaultdict, deque
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from functools import partial
 from heapq import heappop, heappush
@@ -18,6 +18,8 @@
 from random import Random
 
 from moleport.policy import interface as api
+from moleport.policy.actions import ActionBuffer, DeferredTasks
+from moleport.policy.discovery_polling import DiscoveryPoller
 from moleport.policy.hashing import (
     HASH_RATIO_SCALE,
     MAX_WEIGHT,
@@ -29,10 +31,10 @@
 from moleport.policy.hot_keys import HotKeyTracker
 from moleport.policy.interface import (
     AttemptResult,
-    DiscoveryMode,
     EndpointState,
     EndpointUpdateKind,
 )
+from moleport.policy.quotas import TenantQuotas
 from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
 from moleport.policy.zones import CandidateIndex
 
@@ -57,8 +59,6 @@
 RESERVE = 0.8  # part of such a class's threshold that they may fill
 RESUBMITTED_PART = 0.5  # of its cap, for a client's marked retry: its aim is part gone
 OVER_SHARE_PART = 0.5  # of its cap, for a tenant beyond its share
-SHARE_SLACK = 1.2  # times its share against the others' requests, before a tenant counts as beyond it
-SHARE_BURST = 20.0  # requests that a tenant's share may save up
 
 # Servers.
 FULL_WEIGHT = 0.2  # part of the newest outcome in a server's share of full answers
@@ -105,12 +105,6 @@
 
 # The list.
 MANY = 50  # part of the list, one in: so many that come at once are sorted in, fewer inserted
-ASK_SPREAD = 0.5  # of the time within which to ask: many nodes starting at once spread their calls
-ASK_FIRST_PAUSE = SECOND  # doubles with each failed call
-ASK_LEAST_PAUSE = SECOND // 4
-TOLD_WITHIN = 5_750_000_000  # ns: a change counts as told 6 s after discovery had it, whatever failed before
-CALL_TIME = 2_500_000_000  # ns that a call takes at most until it has brought a list or has failed
-SILENT_TIME = 3 * SECOND  # after which a watch that has gone silent has failed
 DOUBLINGS = 4  # of that pause and of an ejection, at most
 
 
@@ -228,11 +222,8 @@
         self._open: dict[int, ActiveRequest] = {}
         self._caps = [0.0] * len(settings.classes)  # requests in flight at which a class is refused
         self._in_flight = InFlight()
-        self._arrivals = 0  # of all tenants
-        self._shares: dict[int, tuple[float, int]] = {}  # a tenant's credit, and arrivals at its last request
-        self._later: list[tuple[int, int, Callable[[int], None]]] = []  # a heap: when, number, what to do
-        self._laters = self._failed_calls = 0
-        self._asked: int | None = None  # when, while the call is unanswered
+        self._quotas = TenantQuotas(settings.tenants)
+        self._deferred = DeferredTasks()
         self._lost_idle = self._lost_others = 0.0  # share of attempts without an answer, by connection
         self._fleet_failures = self._connect_failures = 0.0  # share of attempts, and of new connections
         self._trusted_idle = self._distrusted = 0  # idle time of a connection that is trusted, and since when
@@ -247,23 +238,21 @@
         self._arrival_rate = 0.0  # requests per nanosecond, lately
         self._assumed_rate = 0.0  # stands in for the rate of warm servers while none was measured
         self._visits = 1.0  # part of the visits to a cold server that may use what is saved up
-        self._watching = False
-        self._actions: list[api.Action] = []
+        self._actions = ActionBuffer()
+        self._poller = DiscoveryPoller(settings, self._random, self._actions)
 
     # Events.
 
     def start(self, now: int) -> list[api.Action]:
         """First actions; the cached list follows. Each node has its own phase: all would cut together."""
-        actions: list[api.Action] = [api.SetTimer(now + self._jittered(PERIOD, 0.0), api.TimerId.UPDATE)]
-        if self._settings.discovery_mode is DiscoveryMode.POLL:
-            spread = min(int(self._settings.poll_interval_ns * ASK_SPREAD), TOLD_WITHIN - CALL_TIME)
-            actions.append(api.SetTimer(now + self._jittered(spread, 0.0), api.TimerId.POLL))
-        return actions
+        self._actions.pending = []
+        self._actions.emit(api.SetTimer(now + self._jittered(PERIOD, 0.0), api.TimerId.UPDATE))
+        self._poller.start(now)
+        return self._actions.pending
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        self._actions = []
-        while self._later and self._later[0][0] <= now:
-            heappop(self._later)[2](now)
+        self._actions.pending = []
+        self._deferred.run_due(now)
         if isinstance(event, api.Request):
             self._arrive(now, event)
         elif isinstance(event, api.AttemptOutcome):
@@ -274,16 +263,11 @@
             self._follow(now, event)
         elif isinstance(event, api.ClientDisconnected):
             self._close(now, event)
-        return self._actions
+        return self._actions.pending
 
     def _jittered(self, span: int, least: float) -> int:
         return int(span * self._random.uniform(least, 1.0))
 
-    def _do_later(self, at: int, what: Callable[[int], None]) -> None:
-        """With the first event from then on; where no other may come, its caller sets a timer too."""
-        self._laters += 1
-        heappush(self._later, (at, self._laters, what))
-
     def _wake(self, now: int, token: int) -> None:
         if token == api.TimerId.UPDATE:
             self._in_flight.add(now, 0)
@@ -294,10 +278,9 @@
             self._hitters.update(len(self._ready))
             self._share_by_kind()
             self._measure_rate(now)
-            self._actions.append(api.SetTimer(now + PERIOD, api.TimerId.UPDATE))
-        elif token == api.TimerId.POLL and not self._watching:
-            self._watching, self._asked = True, now  # or about to; a failure takes it back
-            self._actions.append(api.WatchEndpoints())
+            self._actions.emit(api.SetTimer(now + PERIOD, api.TimerId.UPDATE))
+        elif token == api.TimerId.POLL:
+            self._poller.on_timer(now)
 
     # The breaker.
 
@@ -328,7 +311,7 @@
             self._caps[index] = brake * cap
 
     def _admits(self, now: int, request: api.Request) -> bool:
-        part = OVER_SHARE_PART if self._is_over_share(request.tenant_index) else 1.0
+        part = OVER_SHARE_PART if self._quotas.is_over_quota(request.tenant_index) else 1.0
         return self._has_room(now, request, part * RESUBMITTED_PART if request.is_client_retry else part)
 
     def _has_room(self, now: int, request: api.Request, part: float = 1.0) -> bool:
@@ -337,20 +320,6 @@
         cap = part * self._caps[request.class_index]
         return self._in_flight.is_below(now, cap) or own.is_below(now, least)
 
-    def _is_over_share(self, tenant: int) -> bool:
-        """Measured against the other tenants' requests at this node: what part of all traffic the node
-        carries does not matter, nor does the surging tenant's own."""
-        if tenant >= len(self._settings.tenants):
-            return False
-        self._arrivals += 1
-        share = min(0.99, self._settings.tenants[tenant].quota_ratio)
-        credit, seen = self._shares.get(tenant, (SHARE_BURST, 0))
-        others = self._arrivals - 1 - seen
-        credit = min(SHARE_BURST, credit + SHARE_SLACK * share / (1.0 - share) * others)
-        over = credit < 1.0
-        self._shares[tenant] = (credit if over else credit - 1.0, self._arrivals)
-        return over
-
     def _value(self, index: int) -> float:
         """Worth for a unit of work."""
         worth = self._settings.classes[index].priority_weight
@@ -383,7 +352,7 @@
 
     def _send(self, now: int, entry: ActiveRequest, backend: EndpointStatus) -> None:
         idle, time_out = self._connect(now, backend), max(1, entry.useful_until_ns - now)
-        self._actions.append(
+        self._actions.emit(
             api.Forward(entry.request.id, backend.endpoint.id, time_out, entry.write_deadline_ns())
         )
         entry.attempts.append(Attempt(backend, now, idle))
@@ -418,7 +387,7 @@
         if outcome.result is AttemptResult.TIMEOUT and not attempt.status.ejected_until_ns:
             until = now + min(outcome.elapsed_ns, entry.request_class.latency_objective_ns)
             # A server may go on with work that nobody waits for: freed at once, it would be filled again.
-            self._do_later(until, partial(self._release, attempt.status, entry))
+            self._deferred.defer(until, partial(self._release, attempt.status, entry))
         else:
             self._release(attempt.status, entry, now)
         self._detect_outlier(now, attempt.status, result, entry.request.class_index)
@@ -478,7 +447,7 @@
         if entry.may_reject():
             self._refuse(entry)
         else:
-            self._actions.append(api.Fail(entry.request.id))
+            self._actions.emit(api.Fail(entry.request.id))
 
     def _refuse(self, entry: ActiveRequest) -> None:
         # Past its aim an answer is worth nothing, and who comes back for one takes the room of another.
@@ -488,7 +457,7 @@
             if entry.request_class.late_weight_ratio
             else most
         )
-        self._actions.append(api.Reject(entry.request.id, wait if self._settings.sends_retry_after else 0))
+        self._actions.emit(api.Reject(entry.request.id, wait if self._settings.sends_retry_after else 0))
 
     def _close(self, now: int, event: api.ClientDisconnected) -> None:
         if entry := self._open.get(event.request_id):
@@ -519,8 +488,8 @@
             if max(now, turns.cooldown_until_ns) + ahead > latest:
                 return False
             self._open[entry.request.id] = entry
-            self._do_later(latest, partial(self._give_up_waiting, entry))
-            self._actions.append(api.SetTimer(latest, api.TimerId.DEFERRED))
+            self._deferred.defer(latest, partial(self._give_up_waiting, entry))
+            self._actions.emit(api.SetTimer(latest, api.TimerId.DEFERRED))
         turns.requests.append(entry)
         return True
 
@@ -548,8 +517,8 @@
             if turns.requests and turns.requests[0].attempts:
                 return
             if now < turns.cooldown_until_ns:
-                self._do_later(turns.cooldown_until_ns, partial(self._send_next_of_key, key))
-                self._actions.append(api.SetTimer(turns.cooldown_until_ns, api.TimerId.DEFERRED))
+                self._deferred.defer(turns.cooldown_until_ns, partial(self._send_next_of_key, key))
+                self._actions.emit(api.SetTimer(turns.cooldown_until_ns, api.TimerId.DEFERRED))
                 return
             if not turns.requests:
                 del self._key_queues[key]
@@ -699,7 +668,7 @@
             backend.idle_since_ns.pop()
         elif backend.idle_since_ns:
             backend.idle_since_ns.clear()
-            self._actions.append(api.CloseIdleConnections(backend.endpoint.id))
+            self._actions.emit(api.CloseIdleConnections(backend.endpoint.id))
         return idle
 
     def _note_connection(self, now: int, attempt: Attempt) -> bool:
@@ -845,11 +814,10 @@
 
     def _follow(self, now: int, update: api.EndpointUpdate) -> None:
         if update.kind is EndpointUpdateKind.FAILED:
-            self._watching = False
-            self._ask_again(now)
+            self._poller.on_failure(now)
             return
         if update.kind is not EndpointUpdateKind.CACHED:
-            self._watching, self._failed_calls, self._asked = True, 0, None
+            self._poller.on_list()
         listed = {server.id: server for server in update.endpoints}
         if update.kind is not EndpointUpdateKind.DELTA:
             for backend in self._backends.values():
@@ -860,21 +828,8 @@
             self._enter(now, server)
         self._place_changed()
         self._find_surge(now)
-        if not self._ready and not self._watching and self._settings.discovery_mode is DiscoveryMode.POLL:
-            self._ask_after(now, ASK_FIRST_PAUSE)  # restarted with nothing to serve from: sooner than others
-
-    def _ask_again(self, now: int) -> None:
-        """After a failed call or a broken watch. What was missed while it hung, the pause and the next call
-        fit together into the time in which a change counts as told, and a second pause too, as a watch may
-        end at once instead of telling: pauses grow no further than that."""
-        missed = SILENT_TIME if self._asked is None else now - self._asked
-        most = max(ASK_LEAST_PAUSE, (TOLD_WITHIN - CALL_TIME - missed) // 2)
-        pause = ASK_FIRST_PAUSE << min(self._failed_calls, DOUBLINGS)
-        self._failed_calls += 1
-        self._ask_after(now, min(pause, most, self._settings.poll_interval_ns))
-
-    def _ask_after(self, now: int, pause: int) -> None:
-        self._actions.append(api.SetTimer(now + self._jittered(pause, 0.5), api.TimerId.POLL))
+        if not self._ready:
+            self._poller.on_empty_list(now)
 
     def _enter(self, now: int, server: api.Endpoint) -> None:
         if not 0.0 < server.weight < inf:  # no figure: as any other
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 from moleport.config.endpoints import parse_address
 from moleport.node import discovery_watch as discovery
 from moleport.node.dispatcher import WATCH_DOUBLINGS, WATCH_PAUSE, WATCH_PAUSE_PART, hash_name
-from moleport.policy import balancer as balance
+from moleport.policy import discovery_polling
 from moleport.policy import interface as api
 from moleport.policy.interface import EndpointState, EndpointUpdateKind
 
@@ -329,9 +329,15 @@
 
 def test_the_times_that_the_module_counts_with_are_those_of_the_watch() -> None:
     """It bounds its pauses by what a call and a silent watch take at most."""
-    assert max(discovery.QUEUED_ANSWER, discovery.FIRST) * 1e9 <= balance.CALL_TIME
-    assert discovery.SILENCE * 1e9 <= balance.SILENT_TIME
-    assert balance.SILENT_TIME + balance.ASK_LEAST_PAUSE + balance.CALL_TIME <= balance.TOLD_WITHIN < 6e9
+    assert max(discovery.QUEUED_ANSWER, discovery.FIRST) * 1e9 <= discovery_polling.CALL_TIMEOUT_NS
+    assert discovery.SILENCE * 1e9 <= discovery_polling.WATCH_SILENCE_NS
+    assert (
+        discovery_polling.WATCH_SILENCE_NS
+        + discovery_polling.MIN_BACKOFF_NS
+        + discovery_polling.CALL_TIMEOUT_NS
+        <= discovery_polling.NOTIFICATION_LIMIT_NS
+        < 6e9
+    )
 
 
 def test_a_discovery_that_fails_is_asked_with_growing_pauses_that_differ_from_node_to_node() -> None:
