--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from bisect import bisect_left, insort
-from collections import defaultdict, deque
+from collections import deque
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 from functools import partial
@@ -19,7 +19,9 @@
 
 from moleport.policy import interface as api
 from moleport.policy.actions import ActionBuffer, DeferredTasks
+from moleport.policy.connection_health import ConnectionHealth
 from moleport.policy.discovery_polling import DiscoveryPoller
+from moleport.policy.hardware_types import HardwareTypes
 from moleport.policy.hashing import (
     HASH_RATIO_SCALE,
     MAX_WEIGHT,
@@ -34,7 +36,9 @@
     EndpointState,
     EndpointUpdateKind,
 )
+from moleport.policy.load_reports import LoadReports
 from moleport.policy.quotas import TenantQuotas
+from moleport.policy.rejection_rates import RejectionRates
 from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
 from moleport.policy.zones import CandidateIndex
 
@@ -45,7 +49,6 @@
 KEEP = 0.5  # p: part of the old alpha that an update keeps
 PERCENTILE = 0.85  # of response times: the last few are long by their own work, not by load
 TARGET = 0.7  # of a class's aim
-IDLE_BELOW = 0.6  # mean part of cores in use, by report: below it the target is the aim itself
 HEADROOM = 1.5  # times the unloaded tail: no target is below that, as no cap could reach it
 BASE_FALLS, BASE_RISES = 0.2, 0.01  # part of the way that the unloaded tail follows a window's
 CENSORED = 2.0  # times what was waited: an attempt that timed out would have taken longer
@@ -61,19 +64,12 @@
 OVER_SHARE_PART = 0.5  # of its cap, for a tenant beyond its share
 
 # Servers.
-FULL_WEIGHT = 0.2  # part of the newest outcome in a server's share of full answers
-FULL_FADES = 0.95  # of that share, each period: an avoided server brings no news
-FULL_TRACE = 1e-3  # of it is none
 FULL_ABOVE = 0.5  # of it: goes only to a server that is not, while there is one
 FULL_LOOKS = 100  # of them, before the least loaded is taken: more would cost more than they are worth
 FULL_COUNTS = 2.0  # a server always full is compared as with so many more requests in flight
 BUSY_ABOVE = 0.7  # part of its cores in use: above it a server counts as with up to one more in flight
 PACE_WEIGHT = 0.05  # part of the newest response time in a server's pace
 SLOW_ABOVE = 2.0  # slowness: its response times tell of it alone then, and close the breaker for no other
-KIND_WEIGHT = 0.1  # part of the newest report in what the servers of a kind are held to be busy
-KIND_REPORTS = 3  # fewer say nothing
-KIND_GAIN = 0.3  # of the way, in logarithms, that a kind's share goes in a window to where all are as busy
-KIND_LEAST = 0.1  # share
 DRAWS = 12  # tries to find two servers that may be used before any usable one is taken
 FAIL_WEIGHT = 0.3  # part of the newest outcome in a server's share of failures: two in a row eject
 SLOW_WEIGHT = 0.15  # the same for a time-out or a reset of a server that answers others: it is not down
@@ -90,13 +86,8 @@
 SLOW_START_CAUTION = 0.8  # of what a warm server takes: a cold server's keys are cold too and cost more
 COLD_SLACK = 3.0  # requests, of all nodes, that a cold server stands beyond its budget, however small that is
 SLOW_START_BURST = 2.0  # requests that a cold server's budget may save up
-IDLE_SURE = SECOND // 4  # a connection that idled for less is no worse than a new one
-LOST_WEIGHT, SILENT_WEIGHT = 0.2, 0.05  # part of the newest in what each sort loses; of an idle time-out
-LOST_ABOVE = 0.3  # two resets in a row or eight time-outs: idle connections are dropped unseen
-LOST_TIMES_NEW = 2.0  # and so much above the share of the others: what they lose too is not for idling
 CONNECT_LEAST = 0.1  # share of new connections that fail; one below it is none
 CONNECT_COUNTS = 8.0  # where all fail, a server without an idle one counts as with so many more in flight
-TRUST_DOUBLES = 10 * SECOND  # the time after which idle connections are trusted for twice as long again
 
 # Further attempts.
 RETRY_BUDGET = 0.1  # further attempts earned by each first one
@@ -182,15 +173,6 @@
         self.samples_ns.clear()
 
 
-@dataclass(slots=True)
-class HardwareTypeStatus:
-    """What this node knows of the servers that the list puts into one group."""
-
-    hash_ratio: float = 1.0  # of the keys that hash to them, against those of the group that can do most
-    utilization: float = 0.0  # part of their cores in use, by their own reports
-    report_count: int = 0
-
-
 @dataclass(slots=True)
 class KeyQueue:
     """The requests of one key that run in order: the first has the turn, the others wait."""
@@ -217,17 +199,15 @@
         ] = []  # a heap of the ejected, with stale entries
         self._cold: dict[EndpointStatus, None] = {}  # or not yet known to be warm
         self._warm_units = 0  # weight of those that are warm
-        self._busy = 0  # sum of their parts of cores in use, in 1 / UNITS: whole numbers don't drift
-        self._filled: dict[EndpointStatus, None] = {}  # all that gave full answers lately
+        self._rejection_rates = RejectionRates()
         self._open: dict[int, ActiveRequest] = {}
         self._caps = [0.0] * len(settings.classes)  # requests in flight at which a class is refused
         self._in_flight = InFlight()
         self._quotas = TenantQuotas(settings.tenants)
         self._deferred = DeferredTasks()
-        self._lost_idle = self._lost_others = 0.0  # share of attempts without an answer, by connection
-        self._fleet_failures = self._connect_failures = 0.0  # share of attempts, and of new connections
-        self._trusted_idle = self._distrusted = 0  # idle time of a connection that is trusted, and since when
-        self._kinds: defaultdict[int, HardwareTypeStatus] = defaultdict(HardwareTypeStatus)
+        self._fleet_failures = 0.0  # share of attempts
+        self._hardware_types = HardwareTypes()
+        self._load_reports = LoadReports(settings, self._hardware_types)
         self._key_queues: dict[int, KeyQueue] = {}  # by key
         self._retry_budget = RETRY_BURST
         self._hitters = HotKeyTracker()  # among the keys
@@ -239,6 +219,7 @@
         self._assumed_rate = 0.0  # stands in for the rate of warm servers while none was measured
         self._visits = 1.0  # part of the visits to a cold server that may use what is saved up
         self._actions = ActionBuffer()
+        self._connections = ConnectionHealth(settings.idle_timeout_ns, self._actions)
         self._poller = DiscoveryPoller(settings, self._random, self._actions)
 
     # Events.
@@ -272,11 +253,16 @@
         if token == api.TimerId.UPDATE:
             self._in_flight.add(now, 0)
             for breaker in self._breakers:
-                breaker.update(self._in_flight.mean, self._start_cap(), self._is_idle())
+                breaker.update(
+                    self._in_flight.mean,
+                    self._start_cap(),
+                    self._load_reports.is_fleet_idle(len(self._ready)),
+                )
             self._set_caps()
-            self._fade_fullness()
+            self._rejection_rates.decay()
             self._hitters.update(len(self._ready))
-            self._share_by_kind()
+            if self._candidates.has_equal_weights():
+                self._hardware_types.update_ratios()
             self._measure_rate(now)
             self._actions.emit(api.SetTimer(now + PERIOD, api.TimerId.UPDATE))
         elif token == api.TimerId.POLL:
@@ -284,18 +270,13 @@
 
     # The breaker.
 
-    def _is_idle(self) -> bool:
-        """By their own reports: a long tail is not from crowding then. They are late, so the aim binds."""
-        told = "utilization" in self._settings.load_report_fields
-        return told and self._busy < IDLE_BELOW * len(self._ready) * WEIGHT_UNITS
-
     def _start_cap(self) -> float:
         return START_PER_SERVER * len(self._ready) / self._settings.node_count
 
     def _set_caps(self) -> None:
         """A class stops at its own threshold, and short of those of the classes that are worth more. All
         stop sooner where fewer than half of all attempts are answered: overdriven servers need to rest."""
-        brake = min(1.0, 2.0 * (1.0 - self._lost_others))
+        brake = min(1.0, 2.0 * (1.0 - self._connections.loss_rate))
         start = self._start_cap()
         thresholds = [breaker.threshold(start) for breaker in self._breakers]
         values = [self._value(index) for index in range(len(thresholds))]
@@ -351,7 +332,7 @@
         return True
 
     def _send(self, now: int, entry: ActiveRequest, backend: EndpointStatus) -> None:
-        idle, time_out = self._connect(now, backend), max(1, entry.useful_until_ns - now)
+        idle, time_out = self._connections.take_connection(now, backend), max(1, entry.useful_until_ns - now)
         self._actions.emit(
             api.Forward(entry.request.id, backend.endpoint.id, time_out, entry.write_deadline_ns())
         )
@@ -376,14 +357,17 @@
         # does a time-out before an answer could be there: a further attempt gets what time is left.
         enough = min(self._typical(entry), TARGET * entry.request_class.latency_objective_ns)
         hasty = outcome.result is AttemptResult.TIMEOUT and outcome.elapsed_ns < enough
-        result = AttemptResult.CANCELLED if self._note_connection(now, attempt) or hasty else outcome.result
-        # Where servers report, only a report tells that one is idle again: an answer may come without one.
-        if outcome.result is AttemptResult.OK and "utilization" not in self._settings.load_report_fields:
-            self._set_busy(attempt.status, 0.0)
+        result = (
+            AttemptResult.CANCELLED
+            if self._connections.on_attempt_ended(now, attempt) or hasty
+            else outcome.result
+        )
+        if outcome.result is AttemptResult.OK:
+            self._load_reports.on_success(attempt.status)
         self._answered += (
             outcome.result is AttemptResult.OK and self._warmth(now, attempt.status.endpoint) >= 1.0
         )
-        self._note_report(attempt.status, outcome.load_report)
+        self._load_reports.on_report(attempt.status, outcome.load_report)
         if outcome.result is AttemptResult.TIMEOUT and not attempt.status.ejected_until_ns:
             until = now + min(outcome.elapsed_ns, entry.request_class.latency_objective_ns)
             # A server may go on with work that nobody waits for: freed at once, it would be filled again.
@@ -553,7 +537,7 @@
         """Servers in the order of this request's preference; some come more than once. Every other one is of
         the own zone: with no or one request in flight the first gets it, and at random most would cross."""
         if ready := self._ready:
-            find, kinds = self._candidates.find, self._kinds
+            find, kinds = self._candidates.find, self._hardware_types.by_type
             key = entry.request.key or self._random.getrandbits(64)
             spread = self._hitters.fan_out.get(key, 1)
             first = self._random.randrange(spread) if spread > 1 else 0
@@ -568,20 +552,6 @@
             for place in range(turn, turn + len(ready)):
                 yield ready[place % len(ready)]
 
-    def _share_by_kind(self) -> None:
-        """Where the list gives all servers the same weight they may differ all the same, and by far: a node
-        sees each too seldom, but its kind often enough. Keys that a kind gives up keep their other places.
-        Guards against any lasting difference between groups; wrong only if their reports mislead."""
-        kinds = list(self._kinds.values())
-        told = min((kind.report_count for kind in kinds), default=0) >= KIND_REPORTS
-        if not told or not self._candidates.has_equal_weights():
-            return
-        for kind in kinds:
-            kind.hash_ratio /= max(KIND_LEAST, kind.utilization) ** KIND_GAIN
-        most = max(kind.hash_ratio for kind in kinds)
-        for kind in kinds:
-            kind.hash_ratio = max(KIND_LEAST, kind.hash_ratio / most)
-
     def _measure_rate(self, now: int) -> None:
         """What warm servers answer: no loss of others makes that more than they can do, as it does with what
         they are sent. Rises slowly: what a node sees of few servers in a window is chance, and what each
@@ -623,12 +593,17 @@
             load += (backend.utilization - BUSY_ABOVE) / (1.0 - BUSY_ABOVE)
         if fullness := backend.rejection_rates.get(class_index):
             load += FULL_COUNTS * round(fullness, 1)  # no trace may break ties
-        if self._connect_failures > CONNECT_LEAST and not self._standing(now, backend):
-            load += CONNECT_COUNTS * self._connect_failures
+        if self._connections.connect_failure_rate > CONNECT_LEAST and not self._connections.usable_idle_ns(
+            now, backend
+        ):
+            load += CONNECT_COUNTS * self._connections.connect_failure_rate
         return (
             load
             * backend.response_time_ratio
-            / (backend.endpoint.weight * self._kinds[backend.endpoint.hardware_type].hash_ratio)
+            / (
+                backend.endpoint.weight
+                * self._hardware_types.by_type[backend.endpoint.hardware_type].hash_ratio
+            )
         )
 
     def _usable(self, now: int, backend: EndpointStatus) -> bool:
@@ -652,93 +627,14 @@
 
     # Connections.
 
-    def _standing(self, now: int, backend: EndpointStatus) -> int:
-        """The idle time of the connection that an attempt would get; 0 if it would need a new one."""
-        idle = now - backend.idle_since_ns[-1] + 1 if backend.idle_since_ns else 0
-        trusted = self._settings.idle_timeout_ns
-        if self._distrusted and self._connect_failures <= self._lost_idle:  # else a new one is no better
-            doublings = min(32.0, (now - self._distrusted) / TRUST_DOUBLES)
-            trusted = min(trusted, int(self._trusted_idle * 2**doublings))
-        return idle if idle <= trusted else 0
-
-    def _connect(self, now: int, backend: EndpointStatus) -> int:
-        """Connections that are not to be trusted are closed before an attempt: what is sent on one might
-        be lost, and may not be sent again. Needless, it costs a handshake."""
-        if idle := self._standing(now, backend):
-            backend.idle_since_ns.pop()
-        elif backend.idle_since_ns:
-            backend.idle_since_ns.clear()
-            self._actions.emit(api.CloseIdleConnections(backend.endpoint.id))
-        return idle
-
-    def _note_connection(self, now: int, attempt: Attempt) -> bool:
-        """True if the attempt was lost to a connection that had been dropped unseen. That guards against
-        any network that forgets idle connections, by reset or silence; it is no fault of the server."""
-        if attempt.result is AttemptResult.NOT_SENT:
-            return False  # no connection was tried, or this machine failed: it tells nothing
-        lost = attempt.result in (AttemptResult.RESET, AttemptResult.TIMEOUT)
-        if attempt.result in (
-            AttemptResult.OK,
-            AttemptResult.ERROR,
-            AttemptResult.REJECTED,
-            AttemptResult.CLIENT_ERROR,
-        ):
-            attempt.status.idle_since_ns.append(now)
-        if not attempt.idle_ns:
-            failed = attempt.result is AttemptResult.CONNECT_FAILED
-            self._connect_failures += LOST_WEIGHT * (failed - self._connect_failures)
-        if attempt.idle_ns <= IDLE_SURE:
-            self._lost_others += LOST_WEIGHT * (lost - self._lost_others)
-            return False
-        weight = SILENT_WEIGHT if attempt.result is AttemptResult.TIMEOUT else LOST_WEIGHT
-        self._lost_idle += weight * (lost - self._lost_idle)
-        if not lost or self._lost_idle < max(LOST_ABOVE, LOST_TIMES_NEW * self._lost_others):
-            return False
-        self._trusted_idle, self._distrusted = max(IDLE_SURE, attempt.idle_ns // 2), now
-        return True
-
     # The health of servers.
 
-    def _note_report(self, backend: EndpointStatus, report: tuple[float, ...]) -> None:
-        values = dict(zip(self._settings.load_report_fields, report, strict=False))
-        if "utilization" in values:
-            self._note_busy(backend, min(1.0, max(0.0, values["utilization"])))
-
-    def _note_busy(self, backend: EndpointStatus, busy: float) -> None:
-        kind = self._kinds[backend.endpoint.hardware_type]
-        self._set_busy(backend, busy)
-        kind.report_count += "utilization" in self._settings.load_report_fields
-        kind.utilization += max(KIND_WEIGHT, 1 / max(1, kind.report_count)) * (busy - kind.utilization)
-
-    def _set_busy(self, backend: EndpointStatus, busy: float) -> None:
-        if backend.is_ready:
-            self._busy += int(busy * WEIGHT_UNITS) - int(backend.utilization * WEIGHT_UNITS)
-        backend.utilization = busy
-
-    def _fade_fullness(self) -> None:
-        for backend in list(self._filled):
-            for index in backend.rejection_rates if backend.is_ready else ():
-                backend.rejection_rates[index] *= FULL_FADES
-            if (
-                max(backend.rejection_rates.values()) < FULL_TRACE
-                or backend.endpoint.state is EndpointState.REMOVED
-            ):
-                backend.rejection_rates.clear()
-                del self._filled[backend]
-
     def _detect_outlier(
         self, now: int, backend: EndpointStatus, result: AttemptResult, class_index: int
     ) -> None:
         if result is AttemptResult.TIMEOUT and not backend.ejected_until_ns:
-            self._note_busy(backend, 1.0)  # the busiest don't answer
-        # A full server answers fast and has nothing of ours: by load in flight it would look best.
-        if result in (AttemptResult.OK, AttemptResult.REJECTED):
-            full = backend.rejection_rates.get(class_index, 0.0)
-            if full or result is AttemptResult.REJECTED:
-                backend.rejection_rates[class_index] = full + FULL_WEIGHT * (
-                    (result is AttemptResult.REJECTED) - full
-                )
-                self._filled[backend] = None
+            self._load_reports.on_timeout(backend)
+        self._rejection_rates.record(backend, class_index, result)
         trial, backend.is_on_trial = backend.is_on_trial, False
         if result in (
             AttemptResult.CANCELLED,
@@ -889,7 +785,7 @@
                 came.append(backend)
             backend.is_ready = ready
             if ready:
-                self._busy += int(backend.utilization * WEIGHT_UNITS)
+                self._load_reports.add_ready(backend)
                 self._cold[backend] = None
                 self._count_ejected(backend)
             elif backend.endpoint.state is EndpointState.REMOVED:
@@ -909,7 +805,7 @@
         self._set_caps()
 
     def _uncount(self, backend: EndpointStatus) -> None:
-        self._busy -= int(backend.utilization * WEIGHT_UNITS)
+        self._load_reports.remove_ready(backend)
         self._warm_units -= backend.warm_weight_units
         backend.warm_weight_units = 0
         for group in (self._cold, self._ejected):
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1046,7 +1046,7 @@
         if isinstance(send, api.Forward):
             node.end(send, AttemptResult.TIMEOUT, 500 * MS)
         node.wait(400 * MS)
-    assert all(kind.hash_ratio > 0.0 for kind in node.balancer._kinds.values())
+    assert all(kind.hash_ratio > 0.0 for kind in node.balancer._hardware_types.by_type.values())
 
 
 def test_no_further_attempt_once_an_answer_would_be_worth_nothing() -> None:
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -175,7 +175,7 @@
     node.tell(
         whole(*(server(n)._replace(weight=weights[n % len(weights)], hardware_type=n % 2) for n in range(24)))
     )
-    for kind in node.balancer._kinds.values():
+    for kind in node.balancer._hardware_types.by_type.values():
         kind.hash_ratio = 0.1
     for turn in range(3):
         for key in range(1, 200):
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -99,7 +99,7 @@
     assert backend.rejection_rates[0] == pytest.approx(0.2 * 0.95)
     node.tell(delta(server(0)))
     node.wait(70 * SECOND)
-    assert not node.balancer._filled and not backend.rejection_rates
+    assert not node.balancer._rejection_rates._affected and not backend.rejection_rates
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -111,14 +111,18 @@
         game.play(steps=120)
         ready = [one for one in balancer._backends.values() if one.endpoint.state is EndpointState.READY]
         assert balancer._ready == sorted(ready, key=lambda one: one.endpoint.id)
-        assert balancer._busy == sum(int(one.utilization * WEIGHT_UNITS) for one in ready)
+        assert balancer._load_reports._total_units == sum(
+            int(one.utilization * WEIGHT_UNITS) for one in ready
+        )
         assert set(balancer._ejected) == {one for one in ready if one.ejected_until_ns}
         for backend in balancer._ejected:
             assert (backend.failure_rate, backend.endpoint.id) in balancer._by_failures
         warm = [one for one in ready if balancer._warmth(game.now, one.endpoint) >= 1.0]
         assert balancer._warm_weight(game.now) == sum(one.endpoint.weight for one in warm)
         assert set(balancer._cold) == set(ready) - set(warm)
-        assert set(balancer._filled) >= {one for one in ready if any(one.rejection_rates.values())}
+        assert set(balancer._rejection_rates._affected) >= {
+            one for one in ready if any(one.rejection_rates.values())
+        }
         assert len(balancer._candidates) == len(ready)
 
 
