--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -7,45 +7,42 @@
 
 from __future__ import annotations
 
-from bisect import bisect_left, insort
+from bisect import bisect_left
 from collections import deque
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 from functools import partial
-from heapq import heappop, heappush
 from itertools import accumulate
-from math import exp, inf, sqrt
+from math import exp, sqrt
 from random import Random
 
 from moleport.policy import interface as api
 from moleport.policy.actions import ActionBuffer, DeferredTasks
 from moleport.policy.connection_health import ConnectionHealth
 from moleport.policy.discovery_polling import DiscoveryPoller
+from moleport.policy.endpoint_registry import EndpointRegistry
+from moleport.policy.endpoint_set import EndpointSet
 from moleport.policy.hardware_types import HardwareTypes
 from moleport.policy.hashing import (
     HASH_RATIO_SCALE,
-    MAX_WEIGHT,
-    MIN_WEIGHT,
-    WEIGHT_UNITS,
     mix64,
-    to_weight_units,
 )
 from moleport.policy.hot_keys import HotKeyTracker
 from moleport.policy.interface import (
     AttemptResult,
-    EndpointState,
     EndpointUpdateKind,
 )
 from moleport.policy.load_reports import LoadReports
+from moleport.policy.outlier_detection import OutlierDetector
 from moleport.policy.quotas import TenantQuotas
 from moleport.policy.rejection_rates import RejectionRates
+from moleport.policy.slow_start import SlowStart
 from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
-from moleport.policy.zones import CandidateIndex
+from moleport.policy.timing import WINDOW_NS, jittered_ns
 
 SECOND = 1_000_000_000  # ns
 
 # The breaker: the paper's controller, its period and smoothing shorter as overload fills servers in seconds.
-PERIOD = SECOND // 2  # ns between two updates
 KEEP = 0.5  # p: part of the old alpha that an update keeps
 PERCENTILE = 0.85  # of response times: the last few are long by their own work, not by load
 TARGET = 0.7  # of a class's aim
@@ -71,21 +68,6 @@
 PACE_WEIGHT = 0.05  # part of the newest response time in a server's pace
 SLOW_ABOVE = 2.0  # slowness: its response times tell of it alone then, and close the breaker for no other
 DRAWS = 12  # tries to find two servers that may be used before any usable one is taken
-FAIL_WEIGHT = 0.3  # part of the newest outcome in a server's share of failures: two in a row eject
-SLOW_WEIGHT = 0.15  # the same for a time-out or a reset of a server that answers others: it is not down
-ANSWERS = SECOND // 2  # a server that did so lately does
-FLEET_WEIGHT = 0.02  # the same for all servers together: the last fifty outcomes or so
-EJECT_ABOVE = 0.5  # share of failures
-EJECT_TIMES_FLEET = 2.5  # and so much above the fleet's: what fails everywhere is no server's fault
-EJECT_WORSE = 0.25  # and so much above that of one that is out: takes its place where there is no other
-EJECT_PART = 1 / 4  # of the list at most: more leaves the others with more than they can carry
-UNREACHABLE_PART = 3 / 4  # the same where connections fail: that is no sign of load
-ANSWERED_LATELY = 2 * SECOND  # a failed connection is no failure of a server that did
-STALE = 8  # entries in the heap of the ejected for each of them, before it is made anew
-EJECT_TIME = 2 * SECOND  # doubles with each failed trial
-SLOW_START_CAUTION = 0.8  # of what a warm server takes: a cold server's keys are cold too and cost more
-COLD_SLACK = 3.0  # requests, of all nodes, that a cold server stands beyond its budget, however small that is
-SLOW_START_BURST = 2.0  # requests that a cold server's budget may save up
 CONNECT_LEAST = 0.1  # share of new connections that fail; one below it is none
 CONNECT_COUNTS = 8.0  # where all fail, a server without an idle one counts as with so many more in flight
 
@@ -95,8 +77,6 @@
 RETRY_LEAST = 0.5  # of what is usual for the class: with less time left no further attempt is made
 
 # The list.
-MANY = 50  # part of the list, one in: so many that come at once are sorted in, fewer inserted
-DOUBLINGS = 4  # of that pause and of an ejection, at most
 
 
 @dataclass(slots=True)
@@ -108,7 +88,7 @@
     changed_at_ns: int = 0
 
     def add(self, now: int, change: int) -> None:
-        keep = exp((self.changed_at_ns - now) / PERIOD)
+        keep = exp((self.changed_at_ns - now) / WINDOW_NS)
         self.mean = keep * self.mean + (1.0 - keep) * self.count
         self.count += change
         self.changed_at_ns = now
@@ -188,36 +168,23 @@
         self._settings = settings
         self._random = Random(seed)
         self._breakers = [CircuitBreaker(kind.latency_objective_ns) for kind in settings.classes]
-        self._backends: dict[api.EndpointId, EndpointStatus] = {}
-        self._ready: list[EndpointStatus] = []  # by id
-        self._candidates: CandidateIndex[EndpointStatus] = CandidateIndex(settings.zone)
-        self._changed: dict[api.EndpointId, None] = {}  # entries that the list just changed
-        # Of those that are ready, by what ticks look at; a dict's order is the same in each process.
-        self._ejected: dict[EndpointStatus, None] = {}
-        self._by_failures: list[
-            tuple[float, api.EndpointId]
-        ] = []  # a heap of the ejected, with stale entries
-        self._cold: dict[EndpointStatus, None] = {}  # or not yet known to be warm
-        self._warm_units = 0  # weight of those that are warm
+        self._endpoints = EndpointSet(settings.zone)
+        self._outliers = OutlierDetector(self._endpoints, self._random)
+        self._slow_start = SlowStart(settings, self._random, self._endpoints, self._outliers)
         self._rejection_rates = RejectionRates()
         self._open: dict[int, ActiveRequest] = {}
         self._caps = [0.0] * len(settings.classes)  # requests in flight at which a class is refused
         self._in_flight = InFlight()
         self._quotas = TenantQuotas(settings.tenants)
         self._deferred = DeferredTasks()
-        self._fleet_failures = 0.0  # share of attempts
         self._hardware_types = HardwareTypes()
         self._load_reports = LoadReports(settings, self._hardware_types)
         self._key_queues: dict[int, KeyQueue] = {}  # by key
         self._retry_budget = RETRY_BURST
         self._hitters = HotKeyTracker()  # among the keys
-        self._answered = 0  # requests, by warm servers in this window
-        self._warm_answers = self._warm_time = self._time = 0.0  # the same, their weight by time, and time
-        self._rate = 0.0  # answers per nanosecond and unit of a warm server's weight, lately
-        self._window_requests = 0  # arrivals in this window
-        self._arrival_rate = 0.0  # requests per nanosecond, lately
-        self._assumed_rate = 0.0  # stands in for the rate of warm servers while none was measured
-        self._visits = 1.0  # part of the visits to a cold server that may use what is saved up
+        self._registry = EndpointRegistry(
+            self._endpoints, self._outliers, self._slow_start, self._load_reports
+        )
         self._actions = ActionBuffer()
         self._connections = ConnectionHealth(settings.idle_timeout_ns, self._actions)
         self._poller = DiscoveryPoller(settings, self._random, self._actions)
@@ -227,7 +194,7 @@
     def start(self, now: int) -> list[api.Action]:
         """First actions; the cached list follows. Each node has its own phase: all would cut together."""
         self._actions.pending = []
-        self._actions.emit(api.SetTimer(now + self._jittered(PERIOD, 0.0), api.TimerId.UPDATE))
+        self._actions.emit(api.SetTimer(now + jittered_ns(self._random, WINDOW_NS, 0.0), api.TimerId.UPDATE))
         self._poller.start(now)
         return self._actions.pending
 
@@ -246,9 +213,6 @@
             self._close(now, event)
         return self._actions.pending
 
-    def _jittered(self, span: int, least: float) -> int:
-        return int(span * self._random.uniform(least, 1.0))
-
     def _wake(self, now: int, token: int) -> None:
         if token == api.TimerId.UPDATE:
             self._in_flight.add(now, 0)
@@ -256,22 +220,22 @@
                 breaker.update(
                     self._in_flight.mean,
                     self._start_cap(),
-                    self._load_reports.is_fleet_idle(len(self._ready)),
+                    self._load_reports.is_fleet_idle(len(self._endpoints.ready)),
                 )
             self._set_caps()
             self._rejection_rates.decay()
-            self._hitters.update(len(self._ready))
-            if self._candidates.has_equal_weights():
+            self._hitters.update(len(self._endpoints.ready))
+            if self._endpoints.candidates.has_equal_weights():
                 self._hardware_types.update_ratios()
-            self._measure_rate(now)
-            self._actions.emit(api.SetTimer(now + PERIOD, api.TimerId.UPDATE))
+            self._slow_start.end_window(now)
+            self._actions.emit(api.SetTimer(now + WINDOW_NS, api.TimerId.UPDATE))
         elif token == api.TimerId.POLL:
             self._poller.on_timer(now)
 
     # The breaker.
 
     def _start_cap(self) -> float:
-        return START_PER_SERVER * len(self._ready) / self._settings.node_count
+        return START_PER_SERVER * len(self._endpoints.ready) / self._settings.node_count
 
     def _set_caps(self) -> None:
         """A class stops at its own threshold, and short of those of the classes that are worth more. All
@@ -296,7 +260,7 @@
         return self._has_room(now, request, part * RESUBMITTED_PART if request.is_client_retry else part)
 
     def _has_room(self, now: int, request: api.Request, part: float = 1.0) -> bool:
-        least = LEAST_PER_SERVER * len(self._ready) / self._settings.node_count
+        least = LEAST_PER_SERVER * len(self._endpoints.ready) / self._settings.node_count
         own = self._breakers[request.class_index].in_flight
         cap = part * self._caps[request.class_index]
         return self._in_flight.is_below(now, cap) or own.is_below(now, least)
@@ -310,7 +274,7 @@
 
     def _arrive(self, now: int, request: api.Request) -> None:
         kind = self._settings.classes[request.class_index]
-        self._window_requests += 1
+        self._slow_start.on_request()
         if request.key:
             self._hitters.record(request.key)
         expires = now + request.remaining_ns
@@ -338,9 +302,8 @@
         )
         entry.attempts.append(Attempt(backend, now, idle))
         backend.in_flight += 1
-        backend.is_on_trial = backend.ejected_until_ns > 0
-        if self._warmth(now, backend.endpoint) < 1.0:
-            backend.slow_start_tokens -= 1.0
+        self._outliers.on_attempt_sent(backend)
+        self._slow_start.on_attempt_sent(now, backend)
         self._in_flight.add(now, 1)
         self._breakers[entry.request.class_index].in_flight.add(now, 1)
 
@@ -364,9 +327,7 @@
         )
         if outcome.result is AttemptResult.OK:
             self._load_reports.on_success(attempt.status)
-        self._answered += (
-            outcome.result is AttemptResult.OK and self._warmth(now, attempt.status.endpoint) >= 1.0
-        )
+            self._slow_start.on_success(now, attempt.status)
         self._load_reports.on_report(attempt.status, outcome.load_report)
         if outcome.result is AttemptResult.TIMEOUT and not attempt.status.ejected_until_ns:
             until = now + min(outcome.elapsed_ns, entry.request_class.latency_objective_ns)
@@ -374,7 +335,7 @@
             self._deferred.defer(until, partial(self._release, attempt.status, entry))
         else:
             self._release(attempt.status, entry, now)
-        self._detect_outlier(now, attempt.status, result, entry.request.class_index)
+        self._note_result(now, attempt.status, result, entry.request.class_index)
         entry.is_closed |= outcome.is_answered
         again = not entry.is_closed and self._try_again(now, entry, outcome.result)
         if result is outcome.result:
@@ -387,7 +348,10 @@
         return self._breakers[entry.request.class_index].typical_ns
 
     def _sample(self, now: int, entry: ActiveRequest, attempt: Attempt, elapsed: int, again: bool) -> None:
-        if attempt.status.ejected_until_ns or self._warmth(now, attempt.status.endpoint) < 1.0:
+        if (
+            attempt.status.ejected_until_ns
+            or self._slow_start.capacity_ratio(now, attempt.status.endpoint) < 1.0
+        ):
             return  # it tells of that server: silent and cold ones would close the breaker for all the others
         breaker = self._breakers[entry.request.class_index]
         if attempt.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
@@ -536,8 +500,8 @@
     def _preferred(self, entry: ActiveRequest) -> Iterator[EndpointStatus]:
         """Servers in the order of this request's preference; some come more than once. Every other one is of
         the own zone: with no or one request in flight the first gets it, and at random most would cross."""
-        if ready := self._ready:
-            find, kinds = self._candidates.find, self._hardware_types.by_type
+        if ready := self._endpoints.ready:
+            find, kinds = self._endpoints.candidates.find, self._hardware_types.by_type
             key = entry.request.key or self._random.getrandbits(64)
             spread = self._hitters.fan_out.get(key, 1)
             first = self._random.randrange(spread) if spread > 1 else 0
@@ -552,39 +516,6 @@
             for place in range(turn, turn + len(ready)):
                 yield ready[place % len(ready)]
 
-    def _measure_rate(self, now: int) -> None:
-        """What warm servers answer: no loss of others makes that more than they can do, as it does with what
-        they are sent. Rises slowly: what a node sees of few servers in a window is chance, and what each
-        node holds adds up."""
-        self._warm_answers = PROVEN_FADES * self._warm_answers + self._answered
-        self._warm_time = PROVEN_FADES * self._warm_time + PERIOD * self._warm_weight(now)
-        self._time = PROVEN_FADES * self._time + PERIOD
-        self._find_surge(now)
-        mean = self._warm_answers / self._warm_time if self._warm_time else 0.0
-        # Falls slowly: while the breaker refuses much, cold servers would get the less for it too.
-        self._rate = max(mean, PROVEN_FADES * self._rate)
-        self._answered = 0
-        newest = self._window_requests / PERIOD
-        self._arrival_rate += (1.0 - KEEP) * (newest - self._arrival_rate) if self._arrival_rate else newest
-        self._window_requests = 0
-        self._assumed_rate = self._rate or self._assume_rate()
-
-    def _assume_rate(self) -> float:
-        """What a warm server takes for its weight, in requests per nanosecond, where none was seen warm yet,
-        as after a start amid a release: the fleet is taken to be able to do, warm, what it is asked for, each
-        server its even part of this node's arrivals. Too much only where more is asked for than the fleet can
-        do; the fall multiple and the caution leave room for that."""
-        weight = sum(backend.endpoint.weight for backend in self._ready)
-        return self._arrival_rate / weight if weight else 0.0
-
-    def _warm_weight(self, now: int) -> float:
-        """Of the servers that are ready. Looks at those that were cold when it last did."""
-        for backend in [one for one in self._cold if self._warmth(now, one.endpoint) >= 1.0]:
-            del self._cold[backend]
-            backend.warm_weight_units = to_weight_units(backend.endpoint.weight)
-            self._warm_units += backend.warm_weight_units
-        return self._warm_units / WEIGHT_UNITS
-
     def _load(self, now: int, class_index: int, backend: EndpointStatus) -> float:
         """In requests in flight; what the server itself told adds to this node's own. Where new connections
         fail or take long, one that stands is worth a detour."""
@@ -607,105 +538,22 @@
         )
 
     def _usable(self, now: int, backend: EndpointStatus) -> bool:
-        if backend.ejected_until_ns and (backend.is_on_trial or now < backend.ejected_until_ns):
+        if backend.ejected_until_ns and not self._outliers.may_try(now, backend):
             return False
-        if (warmth := self._warmth(now, backend.endpoint)) >= 1.0:
-            return True
-        share = SLOW_START_CAUTION * warmth * (self._rate or self._assumed_rate) * backend.endpoint.weight
-        backend.slow_start_tokens = min(
-            SLOW_START_BURST, backend.slow_start_tokens + share * (now - backend.refilled_at_ns)
-        )
-        backend.refilled_at_ns = now
-        return backend.slow_start_tokens >= 1.0 and self._random.random() < self._visits
+        return self._slow_start.may_send(now, backend)
 
-    def _warmth(self, now: int, server: api.Endpoint) -> float:
-        """The part of its work that a server does at least, by the time since its start."""
-        if not server.started_at_ns:
-            return 1.0
-        age = max(0, now - server.started_at_ns) / max(1, self._settings.slow_start_duration_ns)
-        return self._settings.slow_start_initial_ratio + (1.0 - self._settings.slow_start_initial_ratio) * age
+    def _note_result(
+        self, now_ns: int, status: EndpointStatus, result: AttemptResult, class_index: int
+    ) -> None:
+        if result is AttemptResult.TIMEOUT and not status.ejected_until_ns:
+            self._load_reports.on_timeout(status)
+        self._rejection_rates.record(status, class_index, result)
+        self._outliers.on_attempt_ended(now_ns, status, result)
 
     # Connections.
 
     # The health of servers.
 
-    def _detect_outlier(
-        self, now: int, backend: EndpointStatus, result: AttemptResult, class_index: int
-    ) -> None:
-        if result is AttemptResult.TIMEOUT and not backend.ejected_until_ns:
-            self._load_reports.on_timeout(backend)
-        self._rejection_rates.record(backend, class_index, result)
-        trial, backend.is_on_trial = backend.is_on_trial, False
-        if result in (
-            AttemptResult.CANCELLED,
-            AttemptResult.NOT_SENT,
-            AttemptResult.REJECTED,
-            AttemptResult.CLIENT_ERROR,
-        ):
-            return
-        if result is AttemptResult.OK:
-            backend.answered_at_ns = now
-        elif result is AttemptResult.CONNECT_FAILED and now - backend.answered_at_ns < ANSWERED_LATELY:
-            return  # it serves on standing connections: slow to connect to, not down
-        failed = float(result is not AttemptResult.OK)
-        # A node that sees a server seldom can't wait for a second failure, nor can it for a second success.
-        seldom = backend.silence_ns(now) >= ANSWERED_LATELY and result is not AttemptResult.CONNECT_FAILED
-        weight = EJECT_ABOVE if seldom else FAIL_WEIGHT
-        if result in (AttemptResult.TIMEOUT, AttemptResult.RESET) and now - backend.answered_at_ns < ANSWERS:
-            weight = SLOW_WEIGHT
-        backend.failure_rate += weight * (failed - backend.failure_rate)
-        self._fleet_failures += FLEET_WEIGHT * (failed - self._fleet_failures)
-        self._count_ejected(backend)
-        if trial:
-            if failed:
-                backend.ejection_doublings = min(DOUBLINGS, backend.ejection_doublings + 1)
-                self._eject(now, backend)
-            else:
-                self._reinstate(backend)
-        elif failed and not backend.ejected_until_ns and self._may_eject(backend, result):
-            self._eject(now, backend)
-
-    def _may_eject(self, backend: EndpointStatus, result: AttemptResult) -> bool:
-        part = UNREACHABLE_PART if result is AttemptResult.CONNECT_FAILED else EJECT_PART
-        outlier = backend.failure_rate >= EJECT_TIMES_FLEET * self._fleet_failures
-        if backend.failure_rate < EJECT_ABOVE or not (outlier or result is AttemptResult.CONNECT_FAILED):
-            return False
-        most = part * len(self._ready)
-        if 1 + len(self._ejected) > most:
-            mildest = self._mildest_ejected()
-            if mildest is not None and mildest.failure_rate < backend.failure_rate - EJECT_WORSE:
-                self._reinstate(mildest)  # time-outs in a busy moment must not keep in one that fails all
-        return 1 + len(self._ejected) <= most
-
-    def _mildest_ejected(self) -> EndpointStatus | None:
-        """The lowest id, where several failed as little."""
-        heap = self._by_failures
-        while heap:
-            backend = self._backends.get(heap[0][1])
-            if backend in self._ejected and backend is not None and backend.failure_rate == heap[0][0]:
-                return backend
-            heappop(heap)
-        return None
-
-    def _count_ejected(self, backend: EndpointStatus) -> None:
-        """Whenever one is ejected or its failures change."""
-        if backend.ejected_until_ns and backend.is_ready:
-            self._ejected[backend] = None
-            heappush(self._by_failures, (backend.failure_rate, backend.endpoint.id))
-            if len(self._by_failures) > STALE * (STALE + len(self._ejected)):
-                self._by_failures = sorted((one.failure_rate, one.endpoint.id) for one in self._ejected)
-
-    def _reinstate(self, backend: EndpointStatus) -> None:
-        backend.reset_failures()
-        self._ejected.pop(backend, None)
-
-    def _eject(self, now: int, backend: EndpointStatus) -> None:
-        seldom = min(backend.silence_ns(now), 4 * EJECT_TIME)  # a shorter time would pass without a visit
-        backend.ejected_until_ns = now + self._jittered(
-            max(seldom, EJECT_TIME << backend.ejection_doublings), 0.5
-        )
-        self._count_ejected(backend)
-
     # The list of servers.
 
     def _follow(self, now: int, update: api.EndpointUpdate) -> None:
@@ -714,103 +562,8 @@
             return
         if update.kind is not EndpointUpdateKind.CACHED:
             self._poller.on_list()
-        listed = {server.id: server for server in update.endpoints}
-        if update.kind is not EndpointUpdateKind.DELTA:
-            for backend in self._backends.values():
-                if backend.endpoint.id not in listed:
-                    backend.endpoint = backend.endpoint._replace(state=EndpointState.REMOVED)
-                    self._changed[backend.endpoint.id] = None
-        for server in listed.values():
-            self._enter(now, server)
-        self._place_changed()
-        self._find_surge(now)
-        if not self._ready:
-            self._poller.on_empty_list(now)
-
-    def _enter(self, now: int, server: api.Endpoint) -> None:
-        if not 0.0 < server.weight < inf:  # no figure: as any other
-            server = server._replace(weight=1.0)
-        elif not MIN_WEIGHT <= server.weight <= MAX_WEIGHT:  # past any size of machine
-            server = server._replace(weight=min(max(server.weight, MIN_WEIGHT), MAX_WEIGHT))
-        backend = self._backends.get(server.id)
-        if backend is None:
-            self._backends[server.id] = EndpointStatus(
-                server, self._first_token(now, server), now, listed_at_ns=now
-            )
-        elif server == backend.endpoint:
-            return
-        else:
-            if server.started_at_ns != backend.endpoint.started_at_ns:
-                self._reinstate(backend)
-                backend.slow_start_tokens, backend.refilled_at_ns, backend.listed_at_ns = (
-                    self._first_token(now, server),
-                    now,
-                    now,
-                )
-            backend.endpoint = server
-        self._changed[server.id] = None
-
-    def _first_token(self, now: int, server: api.Endpoint) -> float:
-        """A random part, so that the nodes' first requests spread, and what a visit brings: a node that sees
-        a server seldom would else earn its first request long after its first visit. Few nodes may each send
-        one at once: a fleet of one server that restarts is not left without any."""
-        brought = SLOW_START_CAUTION * min(1.0, self._warmth(now, server)) * self._visits
-        return max(self._random.random() + brought, min(1.0, COLD_SLACK / self._settings.node_count))
-
-    def _find_surge(self, now: int) -> None:
-        """What all nodes have saved up for a cold server must not come at once when others are lost and each
-        gets several times the visits: then only a part of them may, so that they stay at the usual number,
-        or above it by what the fall multiple leaves beyond what is earned meanwhile."""
-        present = self._warm_weight(now) + sum(self._capacity(now, one) for one in self._cold)
-        present -= sum(self._capacity(now, one) for one in self._ejected)
-        usual = self._warm_time / self._time if self._time else present
-        left = max(0.0, self._settings.overload_multiple / SLOW_START_CAUTION - 1.0)
-        self._visits = min(1.0, left * max(0.0, present) / usual) if usual else 1.0
-
-    def _capacity(self, now: int, backend: EndpointStatus) -> float:
-        return min(1.0, self._warmth(now, backend.endpoint)) * backend.endpoint.weight
-
-    def _place_changed(self) -> None:
-        """Costs what changed, up to a shift within the list of those that are ready."""
-        changed = [self._backends[name] for name in self._changed]
-        self._changed.clear()
-        came = []
-        for backend in changed:
-            ready = backend.endpoint.state is EndpointState.READY
-            if backend.is_ready:
-                self._uncount(backend)
-                if not ready:
-                    del self._ready[bisect_left(self._ready, backend.endpoint.id, key=_id)]
-            elif ready:
-                came.append(backend)
-            backend.is_ready = ready
-            if ready:
-                self._load_reports.add_ready(backend)
-                self._cold[backend] = None
-                self._count_ejected(backend)
-            elif backend.endpoint.state is EndpointState.REMOVED:
-                # Attempts hold their server themselves: gone ones would fill this over months.
-                del self._backends[backend.endpoint.id]
-        if len(came) * MANY > len(self._ready):
-            self._ready = sorted(self._ready + came, key=_id)
-        else:
-            for backend in came:
-                insort(self._ready, backend, key=_id)
-        self._candidates.update(
-            {
-                one.endpoint.id: (one.endpoint.zone, one.endpoint.weight, one) if one.is_ready else None
-                for one in changed
-            }
-        )
+        self._registry.apply_update(now, update)
         self._set_caps()
-
-    def _uncount(self, backend: EndpointStatus) -> None:
-        self._load_reports.remove_ready(backend)
-        self._warm_units -= backend.warm_weight_units
-        backend.warm_weight_units = 0
-        for group in (self._cold, self._ejected):
-            group.pop(backend, None)
-
-
-def _id(backend: EndpointStatus) -> api.EndpointId:
-    return backend.endpoint.id
+        self._slow_start.update_burst_ratio(now)
+        if not self._endpoints.ready:
+            self._poller.on_empty_list(now)
--- a/moleport/policy/discovery_polling.py
+++ b/moleport/policy/discovery_polling.py
@@ -21,6 +21,7 @@
 
 from moleport.policy import interface as api
 from moleport.policy.actions import ActionBuffer
+from moleport.policy.timing import jittered_ns
 
 INITIAL_BACKOFF_NS = 1_000_000_000
 MIN_BACKOFF_NS = 250_000_000
@@ -81,5 +82,5 @@
             self._set_timer(now_ns, INITIAL_BACKOFF_NS, MIN_JITTER_RATIO)
 
     def _set_timer(self, now_ns: int, max_wait_ns: int, min_ratio: float) -> None:
-        wait_ns = int(max_wait_ns * self._random.uniform(min_ratio, 1.0))
+        wait_ns = jittered_ns(self._random, max_wait_ns, min_ratio)
         self._actions.emit(api.SetTimer(now_ns + wait_ns, api.TimerId.POLL))
--- /dev/null
+++ b/moleport/policy/endpoint_registry.py
@@ -0,0 +1,135 @@
+"""Applies updates of the endpoint list to the set of endpoints.
+
+A snapshot removes the endpoints that it leaves out; a delta changes those that it names. Only ready endpoints
+are candidates for requests. A new or restarted endpoint begins without failures and with the initial tokens
+of slow start. Weights outside of what hashing can represent are clamped, and one that is no positive finite
+number counts as 1. The cost of an update is that of the entries that changed.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_left, insort
+from collections.abc import Iterable
+from math import inf
+
+from moleport.policy import interface as api
+from moleport.policy.endpoint_set import EndpointSet
+from moleport.policy.hashing import MAX_WEIGHT, MIN_WEIGHT
+from moleport.policy.interface import EndpointState, EndpointUpdateKind
+from moleport.policy.load_reports import LoadReports
+from moleport.policy.outlier_detection import OutlierDetector
+from moleport.policy.slow_start import SlowStart
+from moleport.policy.state import EndpointStatus
+
+DEFAULT_WEIGHT = 1.0
+BULK_MULTIPLE = 50  # more new endpoints than one in so many are sorted in, fewer are inserted one by one
+
+
+class EndpointRegistry:
+    """Adds, updates and removes endpoints."""
+
+    def __init__(
+        self,
+        endpoints: EndpointSet,
+        outliers: OutlierDetector,
+        slow_start: SlowStart,
+        load_reports: LoadReports,
+    ) -> None:
+        self._endpoints = endpoints
+        self._outliers = outliers
+        self._slow_start = slow_start
+        self._load_reports = load_reports
+        self._changed: dict[api.EndpointId, None] = {}  # by the update in progress
+
+    def apply_update(self, now_ns: int, update: api.EndpointUpdate) -> None:
+        """Apply an update that holds entries."""
+        listed = {endpoint.id: endpoint for endpoint in update.endpoints}
+        if update.kind is not EndpointUpdateKind.DELTA:
+            self._remove_unlisted(listed)
+        for endpoint in listed.values():
+            self.add_or_update(now_ns, endpoint)
+        self._index_changed()
+
+    def add_or_update(self, now_ns: int, endpoint: api.Endpoint) -> None:
+        """Enter one entry of the list."""
+        endpoint = _with_valid_weight(endpoint)
+        status = self._endpoints.by_id.get(endpoint.id)
+        if status is None:
+            tokens = self._slow_start.initial_tokens(now_ns, endpoint)
+            status = EndpointStatus(endpoint, tokens, now_ns, listed_at_ns=now_ns)
+            self._endpoints.by_id[endpoint.id] = status
+        elif endpoint == status.endpoint:
+            return
+        elif endpoint.started_at_ns != status.endpoint.started_at_ns:
+            self._outliers.reinstate(status)
+            status.slow_start_tokens = self._slow_start.initial_tokens(now_ns, endpoint)
+            status.refilled_at_ns = now_ns
+            status.listed_at_ns = now_ns
+        status.endpoint = endpoint
+        self._changed[endpoint.id] = None
+
+    def _remove_unlisted(self, listed: dict[api.EndpointId, api.Endpoint]) -> None:
+        for status in self._endpoints.by_id.values():
+            if status.endpoint.id not in listed:
+                status.endpoint = status.endpoint._replace(state=EndpointState.REMOVED)
+                self._changed[status.endpoint.id] = None
+
+    def _index_changed(self) -> None:
+        changed = [self._endpoints.by_id[endpoint_id] for endpoint_id in self._changed]
+        self._changed.clear()
+        added = []
+        for status in changed:
+            was_ready = status.is_ready
+            if was_ready:
+                self._stop_counting(status)
+            status.is_ready = status.endpoint.state is EndpointState.READY
+            if status.is_ready:
+                self._start_counting(status)
+            if status.is_ready and not was_ready:
+                added.append(status)
+            elif was_ready and not status.is_ready:
+                ready = self._endpoints.ready
+                del ready[bisect_left(ready, status.endpoint.id, key=_id_of)]
+            if status.endpoint.state is EndpointState.REMOVED:
+                del self._endpoints.by_id[status.endpoint.id]
+        self._insert_ready(added)
+        self._update_candidates(changed)
+
+    def _start_counting(self, status: EndpointStatus) -> None:
+        self._load_reports.add_ready(status)
+        self._slow_start.add_ready(status)
+        self._outliers.track(status)
+
+    def _stop_counting(self, status: EndpointStatus) -> None:
+        self._load_reports.remove_ready(status)
+        self._slow_start.remove_ready(status)
+        self._outliers.forget(status)
+
+    def _insert_ready(self, added: list[EndpointStatus]) -> None:
+        ready = self._endpoints.ready
+        if len(added) * BULK_MULTIPLE > len(ready):
+            ready.extend(added)
+            ready.sort(key=_id_of)
+            return
+        for status in added:
+            insort(ready, status, key=_id_of)
+
+    def _update_candidates(self, changed: Iterable[EndpointStatus]) -> None:
+        self._endpoints.candidates.update(
+            {
+                one.endpoint.id: (one.endpoint.zone, one.endpoint.weight, one) if one.is_ready else None
+                for one in changed
+            }
+        )
+
+
+def _id_of(status: EndpointStatus) -> api.EndpointId:
+    return status.endpoint.id
+
+
+def _with_valid_weight(endpoint: api.Endpoint) -> api.Endpoint:
+    if not 0.0 < endpoint.weight < inf:
+        return endpoint._replace(weight=DEFAULT_WEIGHT)
+    if not MIN_WEIGHT <= endpoint.weight <= MAX_WEIGHT:
+        return endpoint._replace(weight=min(max(endpoint.weight, MIN_WEIGHT), MAX_WEIGHT))
+    return endpoint
--- /dev/null
+++ b/moleport/policy/endpoint_set.py
@@ -0,0 +1,18 @@
+"""The endpoints that a node knows, as the rules look them up."""
+
+from __future__ import annotations
+
+from moleport.policy import interface as api
+from moleport.policy.state import EndpointStatus
+from moleport.policy.zones import CandidateIndex
+
+
+class EndpointSet:
+    """Endpoints by id, those that are ready, and the index by hash. Owner: endpoint_registry."""
+
+    def __init__(self, zone: int | None) -> None:
+        self.by_id: dict[api.EndpointId, EndpointStatus] = {}
+        self.ready: list[EndpointStatus] = []
+        """Ordered by id; always the same list object."""
+        self.candidates: CandidateIndex[EndpointStatus] = CandidateIndex(zone)
+        """The ready endpoints by hash of the key."""
--- /dev/null
+++ b/moleport/policy/outlier_detection.py
@@ -0,0 +1,166 @@
+"""Ejection of endpoints that fail more than the others, and their reinstatement by a trial.
+
+Each endpoint has a failure rate, an exponentially weighted mean over its attempts: 0 for a success and 1 for
+an error, a time-out, a reset or a failed connection. The weight of the newest outcome is
+
+- NEWEST_OUTCOME_RATIO, so that two failures in a row eject
+- NEWEST_LOSS_RATIO for a time-out or a reset of an endpoint that answered within RECENT_ANSWER_NS
+- NEWEST_RARE_OUTCOME_RATIO where it has not answered for MAX_SILENCE_NS, so that one failure ejects and one
+  success clears: a node that sends it few requests can't wait for a second one
+
+A failure ejects the endpoint if its failure rate is at least EJECTION_FAILURE_RATE and, unless the connection
+failed, OUTLIER_MULTIPLE times the rate of the whole fleet. At most MAX_EJECTED_RATIO of the ready endpoints
+are ejected at once, or MAX_UNREACHABLE_RATIO where connections fail; at this limit, one that fails much more
+replaces the ejected one with the lowest failure rate. A failed connection does not count while the endpoint
+answers on other connections.
+
+    ejection = max(EJECTION_NS * 2 ** failed trials, min(silence, MAX_SILENCE_EJECTION_NS)) * uniform(0.5, 1)
+
+After that time one attempt is its trial: a success reinstates the endpoint, a failure ejects it again. See
+Envoy's outlier detection for the general mechanism.
+
+Failure that this is for: an endpoint that crashed, hangs or answers all requests with errors.
+"""
+
+from __future__ import annotations
+
+from heapq import heappop, heappush
+from random import Random
+
+from moleport.policy import interface as api
+from moleport.policy.endpoint_set import EndpointSet
+from moleport.policy.interface import AttemptResult
+from moleport.policy.state import EndpointStatus
+from moleport.policy.timing import jittered_ns
+
+NEWEST_OUTCOME_RATIO = 0.3
+NEWEST_LOSS_RATIO = 0.15
+NEWEST_RARE_OUTCOME_RATIO = 0.5
+NEWEST_FLEET_OUTCOME_RATIO = 0.02
+RECENT_ANSWER_NS = 500_000_000
+MAX_SILENCE_NS = 2_000_000_000
+EJECTION_FAILURE_RATE = 0.5
+OUTLIER_MULTIPLE = 2.5  # what fails everywhere is no endpoint's fault
+REPLACEMENT_MARGIN_RATE = 0.25
+MAX_EJECTED_RATIO = 1 / 4  # more would overload the others
+MAX_UNREACHABLE_RATIO = 3 / 4  # failed connections are no sign of overload
+EJECTION_NS = 2_000_000_000
+MAX_EJECTION_DOUBLINGS = 4
+MAX_SILENCE_EJECTION_NS = 4 * EJECTION_NS
+MIN_JITTER_RATIO = 0.5
+MAX_STALE_MULTIPLE = 8  # heap entries for each ejected endpoint, before the heap is rebuilt
+
+NOT_COUNTED = frozenset(
+    (AttemptResult.CANCELLED, AttemptResult.NOT_SENT, AttemptResult.REJECTED, AttemptResult.CLIENT_ERROR)
+)
+"""Results that are neither a success nor a failure of the endpoint."""
+
+
+class OutlierDetector:
+    """Decides which endpoints are ejected, for how long, and when they are reinstated."""
+
+    def __init__(self, endpoints: EndpointSet, random: Random) -> None:
+        self._endpoints = endpoints
+        self._random = random
+        self._fleet_failure_rate = 0.0
+        self.ejected: dict[EndpointStatus, None] = {}
+        """The ready endpoints that are ejected; a dict, as its order is the same in each process."""
+        self._by_failure_rate: list[
+            tuple[float, api.EndpointId]
+        ] = []  # heap of `ejected`, some entries stale
+
+    def may_try(self, now_ns: int, status: EndpointStatus) -> bool:
+        """Return whether an ejected endpoint may be sent its trial."""
+        return not status.is_on_trial and now_ns >= status.ejected_until_ns
+
+    def on_attempt_sent(self, status: EndpointStatus) -> None:
+        """Note that an attempt at an ejected endpoint is its trial."""
+        status.is_on_trial = status.ejected_until_ns > 0
+
+    def on_attempt_ended(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
+        """Update the failure rates; eject or reinstate the endpoint."""
+        was_on_trial = status.is_on_trial
+        status.is_on_trial = False
+        if result in NOT_COUNTED:
+            return
+        if result is AttemptResult.OK:
+            status.answered_at_ns = now_ns
+        elif result is AttemptResult.CONNECT_FAILED and now_ns - status.answered_at_ns < MAX_SILENCE_NS:
+            return  # it answers on other connections
+        is_failed = result is not AttemptResult.OK
+        weight = self._outcome_weight(now_ns, status, result)
+        status.failure_rate += weight * (is_failed - status.failure_rate)
+        self._fleet_failure_rate += NEWEST_FLEET_OUTCOME_RATIO * (is_failed - self._fleet_failure_rate)
+        self.track(status)
+        if was_on_trial:
+            self._end_trial(now_ns, status, is_failed)
+        elif is_failed and not status.ejected_until_ns and self.may_eject(status, result):
+            self.eject(now_ns, status)
+
+    def may_eject(self, status: EndpointStatus, result: AttemptResult) -> bool:
+        """Return whether a failure ejects; at the limit this reinstates another endpoint for it."""
+        is_unreachable = result is AttemptResult.CONNECT_FAILED
+        if status.failure_rate < EJECTION_FAILURE_RATE:
+            return False
+        if not is_unreachable and status.failure_rate < OUTLIER_MULTIPLE * self._fleet_failure_rate:
+            return False
+        max_ratio = MAX_UNREACHABLE_RATIO if is_unreachable else MAX_EJECTED_RATIO
+        max_ejected = max_ratio * len(self._endpoints.ready)
+        if 1 + len(self.ejected) > max_ejected:
+            mildest = self._ejected_with_min_failure_rate()
+            if mildest is not None and mildest.failure_rate < status.failure_rate - REPLACEMENT_MARGIN_RATE:
+                self.reinstate(mildest)
+        return 1 + len(self.ejected) <= max_ejected
+
+    def eject(self, now_ns: int, status: EndpointStatus) -> None:
+        """Eject an endpoint for a time drawn at random."""
+        # An endpoint that seldom gets requests of this node would get none within a shorter time.
+        silence_ns = min(status.silence_ns(now_ns), MAX_SILENCE_EJECTION_NS)
+        ejection_ns = max(silence_ns, EJECTION_NS << status.ejection_doublings)
+        status.ejected_until_ns = now_ns + jittered_ns(self._random, ejection_ns, MIN_JITTER_RATIO)
+        self.track(status)
+
+    def reinstate(self, status: EndpointStatus) -> None:
+        """End an endpoint's ejection, and forget its failures."""
+        status.reset_failures()
+        self.ejected.pop(status, None)
+
+    def track(self, status: EndpointStatus) -> None:
+        """Count an endpoint that is ready and ejected; due when either or its failure rate changes."""
+        if not status.ejected_until_ns or not status.is_ready:
+            return
+        self.ejected[status] = None
+        heappush(self._by_failure_rate, (status.failure_rate, status.endpoint.id))
+        if len(self._by_failure_rate) > MAX_STALE_MULTIPLE * (MAX_STALE_MULTIPLE + len(self.ejected)):
+            self._by_failure_rate = sorted((one.failure_rate, one.endpoint.id) for one in self.ejected)
+
+    def forget(self, status: EndpointStatus) -> None:
+        """Stop counting an endpoint that is no longer ready; it stays ejected."""
+        self.ejected.pop(status, None)
+
+    def _end_trial(self, now_ns: int, status: EndpointStatus, is_failed: bool) -> None:
+        if is_failed:
+            status.ejection_doublings = min(MAX_EJECTION_DOUBLINGS, status.ejection_doublings + 1)
+            self.eject(now_ns, status)
+        else:
+            self.reinstate(status)
+
+    def _outcome_weight(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> float:
+        is_lost = result in (AttemptResult.TIMEOUT, AttemptResult.RESET)
+        if is_lost and now_ns - status.answered_at_ns < RECENT_ANSWER_NS:
+            return NEWEST_LOSS_RATIO
+        is_silent = status.silence_ns(now_ns) >= MAX_SILENCE_NS
+        if is_silent and result is not AttemptResult.CONNECT_FAILED:
+            return NEWEST_RARE_OUTCOME_RATIO
+        return NEWEST_OUTCOME_RATIO
+
+    def _ejected_with_min_failure_rate(self) -> EndpointStatus | None:
+        """Return the one with the lowest id where several have the same rate."""
+        heap = self._by_failure_rate
+        while heap:
+            failure_rate, endpoint_id = heap[0]
+            status = self._endpoints.by_id.get(endpoint_id)
+            if status is not None and status in self.ejected and status.failure_rate == failure_rate:
+                return status
+            heappop(heap)
+        return None
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -218,7 +218,7 @@
     """Four of thirteen servers turned slow: their part of the samples alone held the cap at five requests in
     flight, and two thirds of all were refused for ten seconds while the others had next to nothing to do."""
     node = Node(one_class(latency_objective_ns=200 * MS), servers=8)
-    slow = sorted(node.balancer._backends)[:3]
+    slow = sorted(node.balancer._endpoints.by_id)[:3]
     for turn in range(30):
         sends = [send for key in range(30) for send in node.ask(0, 1 + 30 * turn + key)]
         for among_slow, elapsed in ((False, 15 * MS), (True, 15 * MS if turn < 6 else 190 * MS)):
@@ -227,7 +227,7 @@
                 if isinstance(send, api.Forward) and (send.endpoint_id in slow) is among_slow:
                     node.end(send, AttemptResult.OK, elapsed)
         node.wait(300 * MS)
-    assert not any(backend.ejected_until_ns for backend in node.balancer._ready)
+    assert not any(backend.ejected_until_ns for backend in node.balancer._endpoints.ready)
     assert admitted(node) >= 30
 
 
@@ -326,7 +326,7 @@
     and their refusals closed its breaker, and with it those of the lesser classes."""
     node = Node(servers=6)
     closed = {server(number).id for number in range(3)}
-    for backend in node.balancer._backends.values():
+    for backend in node.balancer._endpoints.by_id.values():
         backend.in_flight += 8 * (backend.endpoint.id not in closed)
     full = Counter[int]()
     for turn in range(40):
@@ -452,9 +452,9 @@
     first = node.ask(0, 42)[0]
     assert isinstance(first, api.Forward)
     node.end(first, AttemptResult.ERROR)
-    backend = node.balancer._backends[first.endpoint_id]
+    backend = node.balancer._endpoints.by_id[first.endpoint_id]
     assert not backend.ejected_until_ns
-    node.balancer._detect_outlier(node.now, backend, AttemptResult.ERROR, 0)
+    node.balancer._note_result(node.now, backend, AttemptResult.ERROR, 0)
     assert backend.ejected_until_ns
     assert backend.ejected_until_ns - node.now <= 2 * SECOND
 
@@ -464,7 +464,7 @@
     node = Node(servers=12)
     quieten(node)
     home = node.serve(42)
-    backend = node.balancer._backends[home or b""]
+    backend = node.balancer._endpoints.by_id[home or b""]
     for result in (
         AttemptResult.RESET,
         AttemptResult.RESET,
@@ -472,11 +472,11 @@
         AttemptResult.RESET,
         AttemptResult.RESET,
     ):
-        node.balancer._detect_outlier(node.now, backend, result, 0)
+        node.balancer._note_result(node.now, backend, result, 0)
     assert not backend.ejected_until_ns
     node.now += SECOND  # one that answers nobody may be down
     for _ in range(2):
-        node.balancer._detect_outlier(node.now, backend, AttemptResult.RESET, 0)
+        node.balancer._note_result(node.now, backend, AttemptResult.RESET, 0)
     assert backend.ejected_until_ns
 
 
@@ -485,7 +485,7 @@
     node = Node()
     quieten(node)
     home = node.serve(42)
-    backend = node.balancer._backends[home or b""]
+    backend = node.balancer._endpoints.by_id[home or b""]
     for _ in range(2):
         node.end(node.ask(2, 42)[0], AttemptResult.ERROR)  # type: ignore[arg-type]
     node.wait(3 * SECOND)
@@ -504,7 +504,7 @@
         window(node, 12, 100 * MS)
     quieten(node)
     home = node.serve(44)  # a key that comes back to it after its first time-outs
-    backend = node.balancer._backends[home or b""]
+    backend = node.balancer._endpoints.by_id[home or b""]
     for _ in range(20):
         for result in (AttemptResult.TIMEOUT, AttemptResult.TIMEOUT, AttemptResult.OK):
             (send,) = [one for one in node.ask(0, 44) if isinstance(one, api.Forward)]
@@ -517,7 +517,7 @@
     node.now += SECOND  # silence is another matter
     for _ in range(3):
         node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
-        node.balancer._detect_outlier(node.now, backend, AttemptResult.TIMEOUT, 0)
+        node.balancer._note_result(node.now, backend, AttemptResult.TIMEOUT, 0)
     assert backend.ejected_until_ns
 
 
@@ -546,17 +546,19 @@
     """Servers that timed out a few times in the first busy moment held all places among the ejected. One
     that answered every request with an error stayed in for a second and a half, and got more than any."""
     node = Node(servers=8)
-    mild, milder, bad = [node.balancer._backends[name] for name in sorted(node.balancer._backends)][:3]
+    mild, milder, bad = [
+        node.balancer._endpoints.by_id[name] for name in sorted(node.balancer._endpoints.by_id)
+    ][:3]
     for backend in (milder, mild):
         backend.answered_at_ns = node.now
         while not backend.ejected_until_ns:
-            node.balancer._detect_outlier(node.now, backend, AttemptResult.TIMEOUT, 0)
+            node.balancer._note_result(node.now, backend, AttemptResult.TIMEOUT, 0)
     mild.failure_rate += 0.1
     for _ in range(3):
-        node.balancer._detect_outlier(node.now, bad, AttemptResult.ERROR, 0)
+        node.balancer._note_result(node.now, bad, AttemptResult.ERROR, 0)
         assert not bad.ejected_until_ns  # as bad as those that are out
     for _ in range(3):
-        node.balancer._detect_outlier(node.now, bad, AttemptResult.ERROR, 0)
+        node.balancer._note_result(node.now, bad, AttemptResult.ERROR, 0)
     assert bad.ejected_until_ns and mild.ejected_until_ns
     assert not milder.ejected_until_ns
 
@@ -816,7 +818,7 @@
     balancer = Balancer(settings(), 3)
     for n in range(50):
         balancer.handle(n, whole(server(n), server(n + 1)))
-    assert len(balancer._backends) == 2
+    assert len(balancer._endpoints.by_id) == 2
 
 
 def test_nodes_that_start_together_ask_at_different_times() -> None:
@@ -904,8 +906,8 @@
     for key in keys:
         node.serve(key)
         node.wait(3 * SECOND)
-        for backend in node.balancer._ready:
-            node.balancer._reinstate(backend)  # the first losses, not yet understood, eject some
+        for backend in node.balancer._endpoints.ready:
+            node.balancer._outliers.reinstate(backend)  # the first losses, not yet understood, eject some
         actions = node.ask(2, key)
         send = actions[-1]
         assert isinstance(send, api.Forward)
@@ -991,10 +993,10 @@
         assert isinstance(send, api.Forward)
         if len(node.sent[send.request_id]) == 1:
             node.end(send, AttemptResult.OK)
-    assert not [one for one in node.balancer._ready if one.ejected_until_ns]
+    assert not [one for one in node.balancer._endpoints.ready if one.ejected_until_ns]
     (send,) = node.ask(0, 3)
     assert isinstance(send, api.Forward) and send.endpoint_id in standing
-    connected = {name for name, one in node.balancer._backends.items() if one.idle_since_ns}
+    connected = {name for name, one in node.balancer._endpoints.by_id.items() if one.idle_since_ns}
     (again,) = node.end(send, AttemptResult.CONNECT_FAILED)
     assert isinstance(again, api.Forward) and again.endpoint_id in connected
 
@@ -1080,7 +1082,7 @@
         assert isinstance(
             node.end(send, AttemptResult.REJECTED, 460 * MS)[0], api.Reject
         )  # 40 ms: too little
-    assert not any(one.ejected_until_ns or one.utilization for one in node.balancer._backends.values())
+    assert not any(one.ejected_until_ns or one.utilization for one in node.balancer._endpoints.by_id.values())
 
 
 @pytest.mark.parametrize("report", [(), (0.9,)])
@@ -1092,7 +1094,7 @@
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Forward)
     node.end(send, AttemptResult.OK, report=report)
-    assert node.balancer._backends[send.endpoint_id].utilization == 0.9
+    assert node.balancer._endpoints.by_id[send.endpoint_id].utilization == 0.9
 
 
 @pytest.mark.parametrize(
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -108,7 +108,7 @@
 
 def test_a_request_that_finds_only_full_servers_does_not_look_at_all_of_them() -> None:
     node = fleet(1500)
-    for backend in node.balancer._backends.values():
+    for backend in node.balancer._endpoints.by_id.values():
         backend.rejection_rates[0] = 1.0
     assert operations(lambda: node.ask(0, 7)) < 25_000
 
@@ -190,7 +190,7 @@
     node = Node(settings(), servers=0)
     node.tell(whole(server(1), server(2), server(2, EndpointState.DRAINING), server(3), server(3)))
     assert {node.serve(key) for key in range(1, 100)} == {server(1).id, server(3).id}
-    assert len(node.balancer._ready) == 2
+    assert len(node.balancer._endpoints.ready) == 2
 
 
 def test_a_list_that_shrinks_to_nothing_comes_back_as_it_was() -> None:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -55,11 +55,11 @@
 
 
 def module_view(rig: Rig) -> dict[api.EndpointId, api.Endpoint]:
-    return {key: backend.endpoint for key, backend in rig.spy._balancer._backends.items()}
+    return {key: backend.endpoint for key, backend in rig.spy._balancer._endpoints.by_id.items()}
 
 
 def ready_in_module(rig: Rig) -> set[api.EndpointId]:
-    return {backend.endpoint.id for backend in rig.spy._balancer._ready}
+    return {backend.endpoint.id for backend in rig.spy._balancer._endpoints.ready}
 
 
 def told(rig: Rig) -> list[api.EndpointUpdate]:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -523,7 +523,7 @@
                 assert status(await client.ask(request())) == 400
                 assert await client.ended() == b""
             assert len(one.seen) + len(other.seen) == 5
-            assert not any(backend.failure_rate for backend in rig.spy._balancer._backends.values())
+            assert not any(backend.failure_rate for backend in rig.spy._balancer._endpoints.by_id.values())
 
     run(test())
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,6 +13,8 @@
 
 from moleport.policy import Balancer
 from moleport.policy import interface as api
+from moleport.policy.endpoint_registry import EndpointRegistry
+from moleport.policy.slow_start import SlowStart
 from moleport.policy.state import ActiveRequest
 
 SHAPES = st.fixed_dictionaries(
@@ -93,17 +95,17 @@
 
 
 def test_the_checker_sees_a_drain_that_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    enter = Balancer._enter
+    add_or_update = EndpointRegistry.add_or_update
 
-    def enter_all_as_ready(self: Balancer, now: int, server: api.Endpoint) -> None:
-        enter(self, now, server._replace(state=api.EndpointState.READY))
+    def add_all_as_ready(self: EndpointRegistry, now_ns: int, endpoint: api.Endpoint) -> None:
+        add_or_update(self, now_ns, endpoint._replace(state=api.EndpointState.READY))
 
-    monkeypatch.setattr(Balancer, "_enter", enter_all_as_ready)
+    monkeypatch.setattr(EndpointRegistry, "add_or_update", add_all_as_ready)
     assert broken_rule(RULES) == "drain"
 
 
 def test_the_checker_sees_a_cold_server_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_warmth", lambda self, now, server: 1.0)
+    monkeypatch.setattr(SlowStart, "capacity_ratio", lambda self, now_ns, endpoint: 1.0)
     assert broken_rule(RULES) == "cold"
 
 
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -54,36 +54,36 @@
 def test_a_check_for_ejection_does_not_go_through_all_servers_or_all_that_are_out() -> None:
     """In a cut of half the fleet each failure went through the list."""
     node = fleet(2000)
-    for backend in node.balancer._ready[:900]:
+    for backend in node.balancer._endpoints.ready[:900]:
         backend.failure_rate = 0.9
-        node.balancer._eject(node.now, backend)
-    failing = node.balancer._ready[1500]
+        node.balancer._outliers.eject(node.now, backend)
+    failing = node.balancer._endpoints.ready[1500]
     failing.failure_rate = 0.8
-    assert operations(lambda: node.balancer._may_eject(failing, AttemptResult.TIMEOUT)) < 2000
-    assert not node.balancer._may_eject(failing, AttemptResult.TIMEOUT)
-    assert node.balancer._may_eject(failing, AttemptResult.CONNECT_FAILED)
+    assert operations(lambda: node.balancer._outliers.may_eject(failing, AttemptResult.TIMEOUT)) < 2000
+    assert not node.balancer._outliers.may_eject(failing, AttemptResult.TIMEOUT)
+    assert node.balancer._outliers.may_eject(failing, AttemptResult.CONNECT_FAILED)
 
 
 def test_the_mildest_ejected_server_makes_room_for_one_that_fails_all() -> None:
     node = Node(servers=12)
-    ready = node.balancer._ready
+    ready = node.balancer._endpoints.ready
     for backend, failures in zip(ready, (0.9, 0.6, 0.6), strict=False):
         backend.failure_rate = failures
-        node.balancer._eject(node.now, backend)
+        node.balancer._outliers.eject(node.now, backend)
     ready[5].failure_rate = 0.8
-    assert not node.balancer._may_eject(ready[5], AttemptResult.TIMEOUT)  # not that much worse
+    assert not node.balancer._outliers.may_eject(ready[5], AttemptResult.TIMEOUT)  # not that much worse
     ready[5].failure_rate = 1.0
-    assert node.balancer._may_eject(ready[5], AttemptResult.TIMEOUT)
+    assert node.balancer._outliers.may_eject(ready[5], AttemptResult.TIMEOUT)
     assert [bool(one.ejected_until_ns) for one in ready[:3]] == [True, False, True]  # the lower id of two
 
 
 def test_an_ejected_server_that_drains_and_returns_is_counted_while_it_is_ready() -> None:
     node = Node(servers=4)
     balancer = node.balancer
-    balancer._eject(node.now, balancer._ready[1])
+    balancer._outliers.eject(node.now, balancer._endpoints.ready[1])
     for state, count in ((EndpointState.DRAINING, 0), (EndpointState.READY, 1), (EndpointState.REMOVED, 0)):
         node.tell(delta(server(1, state)))
-        assert len(balancer._ejected) == count
+        assert len(balancer._outliers.ejected) == count
 
 
 def test_fullness_fades_while_a_server_is_ready_and_is_then_forgotten() -> None:
@@ -91,7 +91,7 @@
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Forward)
     node.end(send, AttemptResult.REJECTED)
-    backend = node.balancer._ready[0]
+    backend = node.balancer._endpoints.ready[0]
     node.tell(TICK)
     assert backend.rejection_rates[0] == pytest.approx(0.2 * 0.95)
     node.tell(delta(server(0, EndpointState.DRAINING)))
@@ -109,32 +109,36 @@
     game = Game(balancer, rules, Random(seed))
     for _ in range(5):
         game.play(steps=120)
-        ready = [one for one in balancer._backends.values() if one.endpoint.state is EndpointState.READY]
-        assert balancer._ready == sorted(ready, key=lambda one: one.endpoint.id)
+        ready = [
+            one for one in balancer._endpoints.by_id.values() if one.endpoint.state is EndpointState.READY
+        ]
+        assert balancer._endpoints.ready == sorted(ready, key=lambda one: one.endpoint.id)
         assert balancer._load_reports._total_units == sum(
             int(one.utilization * WEIGHT_UNITS) for one in ready
         )
-        assert set(balancer._ejected) == {one for one in ready if one.ejected_until_ns}
-        for backend in balancer._ejected:
-            assert (backend.failure_rate, backend.endpoint.id) in balancer._by_failures
-        warm = [one for one in ready if balancer._warmth(game.now, one.endpoint) >= 1.0]
-        assert balancer._warm_weight(game.now) == sum(one.endpoint.weight for one in warm)
-        assert set(balancer._cold) == set(ready) - set(warm)
+        assert set(balancer._outliers.ejected) == {one for one in ready if one.ejected_until_ns}
+        for backend in balancer._outliers.ejected:
+            assert (backend.failure_rate, backend.endpoint.id) in balancer._outliers._by_failure_rate
+        warm = [one for one in ready if balancer._slow_start.capacity_ratio(game.now, one.endpoint) >= 1.0]
+        assert balancer._slow_start.warm_weight(game.now) == sum(one.endpoint.weight for one in warm)
+        assert set(balancer._slow_start._warming) == set(ready) - set(warm)
         assert set(balancer._rejection_rates._affected) >= {
             one for one in ready if any(one.rejection_rates.values())
         }
-        assert len(balancer._candidates) == len(ready)
+        assert len(balancer._endpoints.candidates) == len(ready)
 
 
 def test_changes_of_weight_and_start_are_followed() -> None:
     node = Node(settings(slow_start_duration_ns=SECOND), servers=0)
     cold = server(2, started=node.now)
     node.tell(whole(server(0)._replace(weight=0.1), server(1)._replace(weight=0.2), cold))
-    assert node.balancer._warm_weight(node.now) * WEIGHT_UNITS == to_weight_units(0.1) + to_weight_units(0.2)
+    assert node.balancer._slow_start.warm_weight(node.now) * WEIGHT_UNITS == to_weight_units(
+        0.1
+    ) + to_weight_units(0.2)
     node.tell(delta(server(0, started=node.now)._replace(weight=0.1), server(1)._replace(weight=4.0)))
-    assert node.balancer._warm_weight(node.now) == 4.0
+    assert node.balancer._slow_start.warm_weight(node.now) == 4.0
     node.now += SECOND + MS
-    assert node.balancer._warm_weight(node.now) == pytest.approx(5.1)
+    assert node.balancer._slow_start.warm_weight(node.now) == pytest.approx(5.1)
 
 
 ARRIVALS = st.lists(st.tuples(st.sampled_from([1, 1, *range(2, 12)]), st.booleans()), max_size=300)
@@ -185,11 +189,11 @@
 
 def test_the_heap_of_the_ejected_does_not_grow_with_time() -> None:
     node = Node(servers=12)
-    backend = node.balancer._ready[3]
+    backend = node.balancer._endpoints.ready[3]
     for turn in range(3000):
         backend.failure_rate = 0.5 + turn / 10_000
-        node.balancer._eject(node.now, backend)
-    assert len(node.balancer._by_failures) < 100
+        node.balancer._outliers.eject(node.now, backend)
+    assert len(node.balancer._outliers._by_failure_rate) < 100
 
 
 @pytest.mark.parametrize("seed", range(20))
