--- /dev/null
+++ b/moleport/policy/admission.py
@@ -0,0 +1,191 @@
+"""Admission: the cap on requests in flight for each class, and which requests are shed.
+
+The unit of a cap is requests in flight at this node, of all classes together. Each class's circuit breaker
+gives its threshold. The cap of a class is the lowest of
+
+- its own threshold
+- the threshold of each class with more than HIGHER_PRIORITY_MULTIPLE times its priority
+- RESERVED_RATIO times the threshold of each class with more than MUCH_HIGHER_PRIORITY_MULTIPLE times its
+  priority, so that the latter find capacity left
+
+times a brake of 2 * (1 - loss rate), at most 1, which lets overloaded endpoints recover where fewer than half
+of all attempts are answered. The priority of a class is its priority weight for a unit of work: divided by
+its typical response time, unless the settings' `weight_by_work` says that it already counts for work.
+
+A request is admitted below its class's cap. For one that its client marks as a retry, and for one beyond its
+tenant's quota, only a part of the cap counts. Regardless of the cap, MIN_IN_FLIGHT_REQUESTS of each class for
+each endpoint are admitted, as no cap could rise again without samples. All figures for each endpoint are
+those of all nodes together, divided by the settings' `node_count`.
+
+Failure that this is for: overload, in which the requests of the highest priority have to be answered in time.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_left
+from functools import partial
+from itertools import accumulate
+
+from moleport.policy import interface as api
+from moleport.policy.actions import DeferredTasks
+from moleport.policy.circuit_breaker import TARGET_RATIO, CircuitBreaker, InFlight
+from moleport.policy.connection_health import ConnectionHealth
+from moleport.policy.endpoint_set import EndpointSet
+from moleport.policy.interface import AttemptResult
+from moleport.policy.load_reports import LoadReports
+from moleport.policy.quotas import TenantQuotas
+from moleport.policy.slow_start import SlowStart
+from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
+
+INITIAL_IN_FLIGHT_REQUESTS = 10.0  # for each endpoint: the cap until the first window with samples
+MIN_IN_FLIGHT_REQUESTS = 0.3  # for each endpoint, of one class
+HIGHER_PRIORITY_MULTIPLE = 1.2
+MUCH_HIGHER_PRIORITY_MULTIPLE = 2.0
+RESERVED_RATIO = 0.8
+CLIENT_RETRY_RATIO = 0.5  # a part of its latency objective has passed already
+OVER_QUOTA_RATIO = 0.5
+BRAKE_FACTOR = 2.0
+TIMEOUT_SAMPLE_FACTOR = 2.0  # an attempt that timed out would have taken longer
+NEWEST_RESPONSE_TIME_RATIO = 0.05
+MAX_SAMPLED_WAITING_RATIO = 2.0  # a slower endpoint says nothing of the fleet's load
+
+
+class AdmissionControl:
+    """Decides which requests are admitted, from the requests in flight and their response times."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        endpoints: EndpointSet,
+        connections: ConnectionHealth,
+        load_reports: LoadReports,
+        slow_start: SlowStart,
+        deferred: DeferredTasks,
+    ) -> None:
+        self._settings = settings
+        self._endpoints = endpoints
+        self._connections = connections
+        self._load_reports = load_reports
+        self._slow_start = slow_start
+        self._deferred = deferred
+        self._quotas = TenantQuotas(settings.tenants)
+        self.in_flight = InFlight()
+        """Requests of all classes in flight."""
+        self.breakers = [CircuitBreaker(one.latency_objective_ns) for one in settings.classes]
+        """By class index."""
+        self.caps = [0.0] * len(settings.classes)
+        """By class index: requests in flight, of all classes, at which the class is shed."""
+
+    def admits(self, now_ns: int, request: api.Request) -> bool:
+        """Return whether a request that has just arrived is admitted."""
+        ratio = OVER_QUOTA_RATIO if self._quotas.is_over_quota(request.tenant_index) else 1.0
+        if request.is_client_retry:
+            ratio *= CLIENT_RETRY_RATIO
+        return self.has_capacity(now_ns, request.class_index, ratio)
+
+    def has_capacity(self, now_ns: int, class_index: int, cap_ratio: float = 1.0) -> bool:
+        """Return whether one more request of the class fits under this part of its cap."""
+        min_in_flight = MIN_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
+        if self.in_flight.is_below(now_ns, cap_ratio * self.caps[class_index]):
+            return True
+        return self.breakers[class_index].in_flight.is_below(now_ns, min_in_flight)
+
+    def on_attempt_sent(self, now_ns: int, class_index: int, status: EndpointStatus) -> None:
+        """Count an attempt as in flight."""
+        status.in_flight += 1
+        self.in_flight.add(now_ns, 1)
+        self.breakers[class_index].in_flight.add(now_ns, 1)
+
+    def on_attempt_ended(self, now_ns: int, class_index: int, attempt: Attempt, elapsed_ns: int) -> None:
+        """Count an attempt as no longer in flight; after a time-out with a delay of its own duration.
+
+        The delay is at most the latency objective. An endpoint may go on with a request after its time-out,
+        and would be overloaded by the next one.
+        """
+        if attempt.result is not AttemptResult.TIMEOUT or attempt.status.ejected_until_ns:
+            self._release(class_index, attempt.status, now_ns)
+            return
+        delay_ns = min(elapsed_ns, self.breakers[class_index].latency_objective_ns)
+        self._deferred.defer(now_ns + delay_ns, partial(self._release, class_index, attempt.status))
+
+    def typical_ns(self, class_index: int) -> float:
+        """Return the typical response time of a class in ns."""
+        return self.breakers[class_index].typical_ns
+
+    def is_early_timeout(self, active: ActiveRequest, result: AttemptResult, elapsed_ns: int) -> bool:
+        """Return whether an attempt timed out before an answer could be expected.
+
+        Retries have little time left; such a time-out says nothing of the endpoint.
+        """
+        if result is not AttemptResult.TIMEOUT:
+            return False
+        target_ns = TARGET_RATIO * active.request_class.latency_objective_ns
+        return elapsed_ns < min(self.typical_ns(active.request.class_index), target_ns)
+
+    def record_response(
+        self, now_ns: int, active: ActiveRequest, attempt: Attempt, elapsed_ns: int, is_retried: bool
+    ) -> None:
+        """Take the time of an attempt that has ended as a sample of its class.
+
+        Not sampled are endpoints that are ejected, warming up or much slower than the others: their response
+        times would close the breaker for all. A rejection counts as far beyond the objective if it is final.
+        """
+        status = attempt.status
+        if status.ejected_until_ns or self._slow_start.capacity_ratio(now_ns, status.endpoint) < 1.0:
+            return
+        breaker = self.breakers[active.request.class_index]
+        if attempt.result is AttemptResult.REJECTED and not is_retried:
+            breaker.samples_ns.append(TIMEOUT_SAMPLE_FACTOR * breaker.latency_objective_ns)
+        if attempt.result not in (AttemptResult.OK, AttemptResult.TIMEOUT):
+            return
+        is_answered = attempt.result is AttemptResult.OK
+        ratio = elapsed_ns / breaker.typical_ns
+        status.waiting_time_ratio += NEWEST_RESPONSE_TIME_RATIO * (ratio - status.waiting_time_ratio)
+        if is_answered:
+            status.response_time_ratio += NEWEST_RESPONSE_TIME_RATIO * (ratio - status.response_time_ratio)
+        if status.waiting_time_ratio < MAX_SAMPLED_WAITING_RATIO:
+            breaker.samples_ns.append(elapsed_ns if is_answered else TIMEOUT_SAMPLE_FACTOR * elapsed_ns)
+
+    def end_window(self, now_ns: int) -> None:
+        """Update all breakers and caps from the samples of the window that ends."""
+        self.in_flight.add(now_ns, 0)
+        initial_cap = self.initial_cap()
+        is_fleet_idle = self._load_reports.is_fleet_idle(len(self._endpoints.ready))
+        for breaker in self.breakers:
+            breaker.end_window(self.in_flight.mean, initial_cap, is_fleet_idle)
+        self.update_caps()
+
+    def initial_cap(self) -> float:
+        """Return the threshold of a class without samples, in requests in flight at this node."""
+        return INITIAL_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
+
+    def update_caps(self) -> None:
+        """Update the caps from the thresholds; due after each window and each change of the endpoints."""
+        brake = min(1.0, BRAKE_FACTOR * (1.0 - self._connections.loss_rate))
+        initial_cap = self.initial_cap()
+        thresholds = [breaker.threshold(initial_cap) for breaker in self.breakers]
+        priorities = [self.priority(index) for index in range(len(thresholds))]
+        # By falling priority, with the lowest threshold so far: comparing all pairs costs too much.
+        order = sorted(range(len(priorities)), key=priorities.__getitem__, reverse=True)
+        lowest = list(accumulate((thresholds[index] for index in order), min))
+        negated = [-priorities[index] for index in order]
+        for index, cap in enumerate(thresholds):
+            higher_count = bisect_left(negated, -HIGHER_PRIORITY_MULTIPLE * priorities[index])
+            if higher_count:
+                cap = min(cap, lowest[higher_count - 1])
+            much_higher_count = bisect_left(negated, -MUCH_HIGHER_PRIORITY_MULTIPLE * priorities[index])
+            if much_higher_count:
+                cap = min(cap, RESERVED_RATIO * lowest[much_higher_count - 1])
+            self.caps[index] = brake * cap
+
+    def priority(self, class_index: int) -> float:
+        """Return the priority weight of a class for a unit of work."""
+        weight = self._settings.classes[class_index].priority_weight
+        if self._settings.weight_by_work:
+            return weight
+        return weight / max(1.0, self.breakers[class_index].typical_ns)
+
+    def _release(self, class_index: int, status: EndpointStatus, now_ns: int) -> None:
+        status.in_flight -= 1
+        self.in_flight.add(now_ns, -1)
+        self.breakers[class_index].in_flight.add(now_ns, -1)
--- /dev/null
+++ b/moleport/policy/selection.py
@@ -0,0 +1,132 @@
+"""Selection of an endpoint: power of two choices among the endpoints that the key hashes to.
+
+The key of a request (a random one if it has none) names a sequence of endpoints by weighted hashing; every
+other one is of the node's own zone, as far as that zone can carry it. A hot key starts at a random place of
+its fan-out. An endpoint is passed over for the part of the keys that its hardware type gives up. After
+MAX_DRAWS places all ready endpoints follow, from a place that depends on the key.
+
+Of these, the first two that may be used are compared by load score, and the lower one is selected. Passed
+over are endpoints that this request was sent to, those where it could be executed twice, ejected ones, those
+that slow start limits, and those that reject more than MAX_REJECTION_RATE of the class, as long as another
+one is found within MAX_REJECTING_COUNT of them. After a failed connection more than two are compared.
+
+    load score = (requests of this node in flight + penalties) * response_time_ratio / (weight * hash_ratio)
+
+Penalties, in requests: up to 1 for a utilization above HIGH_UTILIZATION_RATIO, by the rejection rate up to
+REJECTION_PENALTY_REQUESTS, and up to CONNECT_PENALTY_REQUESTS where an endpoint has no idle connection while
+new connections fail.
+
+Source: Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, IEEE TPDS 2001.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from functools import partial
+from random import Random
+
+from moleport.policy.connection_health import ConnectionHealth
+from moleport.policy.endpoint_set import EndpointSet
+from moleport.policy.hardware_types import HardwareTypes
+from moleport.policy.hashing import HASH_RATIO_SCALE, mix64
+from moleport.policy.hot_keys import HotKeyTracker
+from moleport.policy.interface import AttemptResult
+from moleport.policy.outlier_detection import OutlierDetector
+from moleport.policy.slow_start import SlowStart
+from moleport.policy.state import ActiveRequest, EndpointStatus
+
+CHOICE_COUNT = 2
+MAX_DRAWS = 12
+MAX_REJECTION_RATE = 0.5
+MAX_REJECTING_COUNT = 100
+REJECTION_PENALTY_REQUESTS = 2.0
+REJECTION_RATE_DIGITS = 1  # a small rest of a rate must not break ties
+HIGH_UTILIZATION_RATIO = 0.7
+MIN_CONNECT_FAILURE_RATE = 0.1
+CONNECT_PENALTY_REQUESTS = 8.0
+PLACE_BITS = 64
+RATIO_SHIFT_BITS = 44  # leaves the bits that HASH_RATIO_SCALE needs
+
+
+class EndpointSelector:
+    """Selects the endpoint for an attempt."""
+
+    def __init__(
+        self,
+        random: Random,
+        endpoints: EndpointSet,
+        hot_keys: HotKeyTracker,
+        hardware_types: HardwareTypes,
+        connections: ConnectionHealth,
+        outliers: OutlierDetector,
+        slow_start: SlowStart,
+    ) -> None:
+        self._random = random
+        self._ready = endpoints.ready
+        self._candidates = endpoints.candidates
+        self._hot_keys = hot_keys
+        self._hardware_types = hardware_types.by_type
+        self._connections = connections
+        self._outliers = outliers
+        self._slow_start = slow_start
+
+    def select(self, now_ns: int, active: ActiveRequest) -> EndpointStatus | None:
+        """Return the endpoint for the next attempt, or None if there is none that may be used."""
+        attempts = active.attempts
+        seen = {attempt.status for attempt in attempts}
+        is_unconnected = bool(attempts) and attempts[-1].result is AttemptResult.CONNECT_FAILED
+        choice_count = MAX_DRAWS if is_unconnected else CHOICE_COUNT
+        class_index = active.request.class_index
+        choices: list[EndpointStatus] = []
+        rejecting: list[EndpointStatus] = []
+        for status in self._preferred(active):
+            if status in seen or (attempts and not active.may_send_to(status.endpoint, now_ns)):
+                continue
+            seen.add(status)
+            if not self._is_usable(now_ns, status):
+                continue
+            is_rejecting = status.rejection_rates.get(class_index, 0.0) > MAX_REJECTION_RATE
+            (rejecting if is_rejecting else choices).append(status)
+            if len(choices) == choice_count or len(rejecting) == MAX_REJECTING_COUNT:
+                break
+        return min(choices or rejecting, key=partial(self._load_score, now_ns, class_index), default=None)
+
+    def _preferred(self, active: ActiveRequest) -> Iterator[EndpointStatus]:
+        """Yield endpoints in the order of preference; some come more than once."""
+        ready = self._ready
+        if not ready:
+            return
+        find, hardware_types = self._candidates.find, self._hardware_types
+        key = active.request.key or self._random.getrandbits(PLACE_BITS)
+        fan_out = self._hot_keys.fan_out.get(key, 1)
+        first = self._random.randrange(fan_out) if fan_out > 1 else 0
+        for draw in range(first, first + MAX_DRAWS):
+            place = mix64(key + draw)
+            is_near = not (draw - first) % 2
+            status = find(place, is_near)
+            if status is not None:
+                ratio = hardware_types[status.endpoint.hardware_type].hash_ratio
+                if ratio >= 1.0 or place >> RATIO_SHIFT_BITS < ratio * HASH_RATIO_SCALE:
+                    yield status
+        start = mix64(key) % len(ready)
+        for index in range(start, start + len(ready)):
+            yield ready[index % len(ready)]
+
+    def _is_usable(self, now_ns: int, status: EndpointStatus) -> bool:
+        if status.ejected_until_ns and not self._outliers.may_try(now_ns, status):
+            return False
+        return self._slow_start.may_send(now_ns, status)
+
+    def _load_score(self, now_ns: int, class_index: int, status: EndpointStatus) -> float:
+        load = float(status.in_flight)
+        if status.utilization > HIGH_UTILIZATION_RATIO:
+            load += (status.utilization - HIGH_UTILIZATION_RATIO) / (1.0 - HIGH_UTILIZATION_RATIO)
+        rejection_rate = status.rejection_rates.get(class_index)
+        if rejection_rate:
+            load += REJECTION_PENALTY_REQUESTS * round(rejection_rate, REJECTION_RATE_DIGITS)
+        connections = self._connections
+        failure_rate = connections.connect_failure_rate
+        if failure_rate > MIN_CONNECT_FAILURE_RATE and not connections.usable_idle_ns(now_ns, status):
+            load += CONNECT_PENALTY_REQUESTS * failure_rate
+        hash_ratio = self._hardware_types[status.endpoint.hardware_type].hash_ratio
+        return load * status.response_time_ratio / (status.endpoint.weight * hash_ratio)
--- a/moleport/policy/state.py
+++ b/moleport/policy/state.py
@@ -24,7 +24,7 @@
     refilled_at_ns: int
     """When the tokens were last refilled. Owner: slow_start."""
     in_flight: int = 0
-    """Attempts of this node in flight. Owner: balancer."""
+    """Attempts of this node in flight, and those released late after a time-out. Owner: admission."""
     idle_since_ns: list[int] = field(default_factory=list)
     """For each idle connection, when it became idle; newest last. Owner: connection_health."""
     rejection_rates: dict[int, float] = field(default_factory=dict)
--- a/scale/candidates.py
+++ b/scale/candidates.py
@@ -420,7 +420,7 @@
     gc.freeze()
     ids = iter(range(1, 1 << 40))
     for key in range(6 * size):
-        node._hitters.record(mix64(key))
+        node._hot_keys.record(mix64(key))
 
     def ask(keys: range) -> None:
         for key in keys:
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -454,7 +454,7 @@
     node.end(first, AttemptResult.ERROR)
     backend = node.balancer._endpoints.by_id[first.endpoint_id]
     assert not backend.ejected_until_ns
-    node.balancer._note_result(node.now, backend, AttemptResult.ERROR, 0)
+    node.balancer._record_result(node.now, backend, AttemptResult.ERROR, 0)
     assert backend.ejected_until_ns
     assert backend.ejected_until_ns - node.now <= 2 * SECOND
 
@@ -472,11 +472,11 @@
         AttemptResult.RESET,
         AttemptResult.RESET,
     ):
-        node.balancer._note_result(node.now, backend, result, 0)
+        node.balancer._record_result(node.now, backend, result, 0)
     assert not backend.ejected_until_ns
     node.now += SECOND  # one that answers nobody may be down
     for _ in range(2):
-        node.balancer._note_result(node.now, backend, AttemptResult.RESET, 0)
+        node.balancer._record_result(node.now, backend, AttemptResult.RESET, 0)
     assert backend.ejected_until_ns
 
 
@@ -517,7 +517,7 @@
     node.now += SECOND  # silence is another matter
     for _ in range(3):
         node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
-        node.balancer._note_result(node.now, backend, AttemptResult.TIMEOUT, 0)
+        node.balancer._record_result(node.now, backend, AttemptResult.TIMEOUT, 0)
     assert backend.ejected_until_ns
 
 
@@ -552,13 +552,13 @@
     for backend in (milder, mild):
         backend.answered_at_ns = node.now
         while not backend.ejected_until_ns:
-            node.balancer._note_result(node.now, backend, AttemptResult.TIMEOUT, 0)
+            node.balancer._record_result(node.now, backend, AttemptResult.TIMEOUT, 0)
     mild.failure_rate += 0.1
     for _ in range(3):
-        node.balancer._note_result(node.now, bad, AttemptResult.ERROR, 0)
+        node.balancer._record_result(node.now, bad, AttemptResult.ERROR, 0)
         assert not bad.ejected_until_ns  # as bad as those that are out
     for _ in range(3):
-        node.balancer._note_result(node.now, bad, AttemptResult.ERROR, 0)
+        node.balancer._record_result(node.now, bad, AttemptResult.ERROR, 0)
     assert bad.ejected_until_ns and mild.ejected_until_ns
     assert not milder.ejected_until_ns
 
@@ -1132,4 +1132,4 @@
             if isinstance(send, api.Forward):
                 node.end(send, AttemptResult.TIMEOUT, 300 * MS)
         node.wait(300 * MS)
-    assert max(node.balancer._caps) < 1.0
+    assert max(node.balancer._admission.caps) < 1.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,6 +14,8 @@
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 from moleport.policy.endpoint_registry import EndpointRegistry
+from moleport.policy.final_answers import FinalAnswers
+from moleport.policy.key_ordering import KeyOrdering
 from moleport.policy.slow_start import SlowStart
 from moleport.policy.state import ActiveRequest
 
@@ -80,12 +82,12 @@
 
 
 def test_the_checker_sees_a_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_end", lambda self, entry: None)
+    monkeypatch.setattr(FinalAnswers, "finish", lambda self, active: None)
     assert broken_rule(RULES) == "lost"
 
 
 def test_the_checker_sees_an_effect_that_may_happen_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ActiveRequest, "may_send_to", lambda self, server, now: True)
+    monkeypatch.setattr(ActiveRequest, "may_send_to", lambda self, endpoint, now_ns: True)
     assert broken_rule(RULES) == "duplicate"
 
 
@@ -110,25 +112,29 @@
 
 
 def test_the_checker_sees_requests_of_a_key_out_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_enqueue", Balancer._send_first)
+    def send_at_once(self: KeyOrdering, now_ns: int, active: ActiveRequest) -> bool:
+        return self._send_first(now_ns, active)
+
+    monkeypatch.setattr(KeyOrdering, "enqueue", send_at_once)
     assert broken_rule(RULES) == "order"
 
 
 def test_the_checker_sees_a_key_that_does_not_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_cool_down", lambda self, now, entry, result: None)
+    monkeypatch.setattr(KeyOrdering, "cool_down", lambda self, now_ns, active, result: None)
     assert broken_rule(RULES) == "order"
 
 
 def test_the_checker_sees_a_second_copy(monkeypatch: pytest.MonkeyPatch) -> None:
-    settle = Balancer._settle
+    on_attempt_outcome = Balancer._on_attempt_outcome
 
-    def copy(self: Balancer, now: int, outcome: api.AttemptOutcome) -> None:
-        settle(self, now, outcome)
-        for entry in list(self._open.values()):
-            if entry.request_class.idempotency is api.Idempotency.IDEMPOTENT and not entry.is_closed:
-                self._send_first(now, entry)
+    def send_again(self: Balancer, now_ns: int, outcome: api.AttemptOutcome) -> None:
+        on_attempt_outcome(self, now_ns, outcome)
+        for active in list(self._active_requests.values()):
+            is_idempotent = active.request_class.idempotency is api.Idempotency.IDEMPOTENT
+            if is_idempotent and not active.is_closed:
+                self._send_first(now_ns, active)
 
-    monkeypatch.setattr(Balancer, "_settle", copy)
+    monkeypatch.setattr(Balancer, "_on_attempt_outcome", send_again)
     assert broken_rule(RULES) == "duplicate"
 
 
@@ -137,7 +143,11 @@
     game = Game(balancer, RULES, Random(3))
     game.play(steps=400)
     game._pass(5_000 * MS)
-    assert (balancer._key_queues, balancer._open, balancer._in_flight.count) == ({}, {}, 0)
+    assert (
+        balancer._key_ordering._queues,
+        balancer._active_requests,
+        balancer._admission.in_flight.count,
+    ) == ({}, {}, 0)
 
 
 def test_the_same_events_give_the_same_actions() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -8,7 +8,7 @@
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 MAX_FILE_LINES = 400
 MAX_LINE_LENGTH = 110
-STILL_TO_SPLIT = {"policy/balancer.py", "node/listener.py", "node/dispatcher.py", "node/attempt.py"}
+STILL_TO_SPLIT = {"node/listener.py", "node/dispatcher.py", "node/attempt.py"}
 
 
 def test_no_file_of_the_package_is_long() -> None:
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -45,7 +45,7 @@
     for count in (100, 3000):
         node = fleet(3000)
         for key in range(1, count + 1):
-            node.balancer._hitters.record(key)
+            node.balancer._hot_keys.record(key)
         node.tell(TICK)
         costs.append(operations(lambda node=node: node.tell(TICK)))
     assert costs[1] < costs[0] + 300
@@ -209,16 +209,18 @@
         for _ in range(random.choice((1, 2, 9)))
     )
     balancer = Node(settings(classes=kinds, weight_by_work=bool(seed % 2)), servers=6).balancer
-    for breaker in balancer._breakers:
+    for breaker in balancer._admission.breakers:
         breaker.ns_per_request = random.choice((0.0, 1e8, 3e8))
-    balancer._set_caps()
-    thresholds = [breaker.threshold(balancer._start_cap()) for breaker in balancer._breakers]
-    for index, cap in enumerate(balancer._caps):
-        own = balancer._value(index)
+    balancer._admission.update_caps()
+    thresholds = [
+        breaker.threshold(balancer._admission.initial_cap()) for breaker in balancer._admission.breakers
+    ]
+    for index, cap in enumerate(balancer._admission.caps):
+        own = balancer._admission.priority(index)
         bounds = [
             (0.8 if value > 2.0 * own else 1.0) * thresholds[other]
             for other in range(len(kinds))
-            if (value := balancer._value(other)) > 1.2 * own
+            if (value := balancer._admission.priority(other)) > 1.2 * own
         ]
         assert cap == min([thresholds[index], *bounds])
 
