--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -85,9 +85,9 @@
 
     def has_capacity(self, now_ns: int, class_index: int, cap_ratio: float = 1.0) -> bool:
         """Return whether one more request of the class fits under this part of its cap."""
-        min_in_flight = MIN_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
         if self.in_flight.is_below(now_ns, cap_ratio * self.caps[class_index]):
             return True
+        min_in_flight = MIN_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
         return self.breakers[class_index].in_flight.is_below(now_ns, min_in_flight)
 
     def on_attempt_sent(self, now_ns: int, class_index: int, status: EndpointStatus) -> None:
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -31,9 +31,7 @@
 TRUST_DOUBLING_NS = 10_000_000_000
 MAX_TRUST_DOUBLINGS = 32.0
 
-ANSWERED = frozenset(
-    (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.CLIENT_ERROR)
-)
+ANSWERED = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.CLIENT_ERROR)
 """Results after which the connection is idle."""
 
 
@@ -54,7 +52,8 @@
         if not status.idle_since_ns:
             return 0
         idle_ns = now_ns - status.idle_since_ns[-1] + 1
-        return idle_ns if idle_ns <= self._max_idle_ns(now_ns) else 0
+        max_idle_ns = self._max_idle_ns(now_ns) if self._distrusted_at_ns else self._idle_timeout_ns
+        return idle_ns if idle_ns <= max_idle_ns else 0
 
     def take_connection(self, now_ns: int, status: EndpointStatus) -> int:
         """Take the connection for an attempt, and return its idle time in ns; 0: a new one.
@@ -98,7 +97,7 @@
 
     def _max_idle_ns(self, now_ns: int) -> int:
         # Where new connections fail more often than idle ones, distrust would gain nothing.
-        if not self._distrusted_at_ns or self.connect_failure_rate > self._idle_loss_rate:
+        if self.connect_failure_rate > self._idle_loss_rate:
             return self._idle_timeout_ns
         doublings = min(MAX_TRUST_DOUBLINGS, (now_ns - self._distrusted_at_ns) / TRUST_DOUBLING_NS)
         return min(self._idle_timeout_ns, int(self._trusted_idle_ns * 2**doublings))
--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -29,7 +29,7 @@
 from moleport.policy.interface import AttemptResult
 from moleport.policy.state import ActiveRequest
 
-MAYBE_RUNNING = frozenset((AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED))
+MAYBE_RUNNING = (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
 """Results after which an endpoint may still execute the attempt."""
 
 
--- a/moleport/policy/load_reports.py
+++ b/moleport/policy/load_reports.py
@@ -45,6 +45,8 @@
 
     def on_report(self, status: EndpointStatus, report: tuple[float, ...]) -> None:
         """Note the utilization in a load report; an empty or shorter report may have none."""
+        if not report or not self._has_utilization:
+            return
         values = dict(zip(self._fields, report, strict=False))
         if UTILIZATION in values:
             self._record(status, min(1.0, max(0.0, values[UTILIZATION])))
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -50,8 +50,11 @@
 MIN_JITTER_RATIO = 0.5
 MAX_STALE_MULTIPLE = 8  # heap entries for each ejected endpoint, before the heap is rebuilt
 
-NOT_COUNTED = frozenset(
-    (AttemptResult.CANCELLED, AttemptResult.NOT_SENT, AttemptResult.REJECTED, AttemptResult.CLIENT_ERROR)
+NOT_COUNTED = (
+    AttemptResult.CANCELLED,
+    AttemptResult.NOT_SENT,
+    AttemptResult.REJECTED,
+    AttemptResult.CLIENT_ERROR,
 )
 """Results that are neither a success nor a failure of the endpoint."""
 
--- a/moleport/policy/retries.py
+++ b/moleport/policy/retries.py
@@ -24,7 +24,7 @@
 RETRY_BURST_ATTEMPTS = 10.0
 MIN_REMAINING_MULTIPLE = 0.5
 
-UNREACHED = frozenset((AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT))
+UNREACHED = (AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 """Results that prove that an attempt put no load on its endpoint."""
 
 
--- a/moleport/policy/selection.py
+++ b/moleport/policy/selection.py
@@ -3,7 +3,7 @@
 The key of a request (a random one if it has none) names a sequence of endpoints by weighted hashing; every
 other one is of the node's own zone, as far as that zone can carry it. A hot key starts at a random place of
 its fan-out. An endpoint is passed over for the part of the keys that its hardware type gives up. After
-MAX_DRAWS places all ready endpoints follow, from a place that depends on the key.
+MAX_DRAW_COUNT places all ready endpoints follow, from a place that depends on the key.
 
 Of these, the first two that may be used are compared by load score, and the lower one is selected. Passed
 over are endpoints that this request was sent to, those where it could be executed twice, ejected ones, those
@@ -36,11 +36,11 @@
 from moleport.policy.state import ActiveRequest, EndpointStatus
 
 CHOICE_COUNT = 2
-MAX_DRAWS = 12
+MAX_DRAW_COUNT = 12
 MAX_REJECTION_RATE = 0.5
 MAX_REJECTING_COUNT = 100
 REJECTION_PENALTY_REQUESTS = 2.0
-REJECTION_RATE_DIGITS = 1  # a small rest of a rate must not break ties
+REJECTION_RATE_DIGIT_COUNT = 1  # a small rest of a rate must not break ties
 HIGH_UTILIZATION_RATIO = 0.7
 MIN_CONNECT_FAILURE_RATE = 0.1
 CONNECT_PENALTY_REQUESTS = 8.0
@@ -75,7 +75,7 @@
         attempts = active.attempts
         seen = {attempt.status for attempt in attempts}
         is_unconnected = bool(attempts) and attempts[-1].result is AttemptResult.CONNECT_FAILED
-        choice_count = MAX_DRAWS if is_unconnected else CHOICE_COUNT
+        choice_count = MAX_DRAW_COUNT if is_unconnected else CHOICE_COUNT
         class_index = active.request.class_index
         choices: list[EndpointStatus] = []
         rejecting: list[EndpointStatus] = []
@@ -83,7 +83,9 @@
             if status in seen or (attempts and not active.may_send_to(status.endpoint, now_ns)):
                 continue
             seen.add(status)
-            if not self._is_usable(now_ns, status):
+            if status.ejected_until_ns and not self._outliers.may_try(now_ns, status):
+                continue
+            if not self._slow_start.may_send(now_ns, status):
                 continue
             is_rejecting = status.rejection_rates.get(class_index, 0.0) > MAX_REJECTION_RATE
             (rejecting if is_rejecting else choices).append(status)
@@ -100,7 +102,7 @@
         key = active.request.key or self._random.getrandbits(PLACE_BITS)
         fan_out = self._hot_keys.fan_out.get(key, 1)
         first = self._random.randrange(fan_out) if fan_out > 1 else 0
-        for draw in range(first, first + MAX_DRAWS):
+        for draw in range(first, first + MAX_DRAW_COUNT):
             place = mix64(key + draw)
             is_near = not (draw - first) % 2
             status = find(place, is_near)
@@ -112,18 +114,13 @@
         for index in range(start, start + len(ready)):
             yield ready[index % len(ready)]
 
-    def _is_usable(self, now_ns: int, status: EndpointStatus) -> bool:
-        if status.ejected_until_ns and not self._outliers.may_try(now_ns, status):
-            return False
-        return self._slow_start.may_send(now_ns, status)
-
     def _load_score(self, now_ns: int, class_index: int, status: EndpointStatus) -> float:
         load = float(status.in_flight)
         if status.utilization > HIGH_UTILIZATION_RATIO:
             load += (status.utilization - HIGH_UTILIZATION_RATIO) / (1.0 - HIGH_UTILIZATION_RATIO)
         rejection_rate = status.rejection_rates.get(class_index)
         if rejection_rate:
-            load += REJECTION_PENALTY_REQUESTS * round(rejection_rate, REJECTION_RATE_DIGITS)
+            load += REJECTION_PENALTY_REQUESTS * round(rejection_rate, REJECTION_RATE_DIGIT_COUNT)
         connections = self._connections
         failure_rate = connections.connect_failure_rate
         if failure_rate > MIN_CONNECT_FAILURE_RATE and not connections.usable_idle_ns(now_ns, status):
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -9,10 +9,10 @@
 
     CAPACITY_MARGIN_RATIO * capacity_ratio * warm_request_rate * weight
 
-up to MAX_TOKENS, and each attempt takes one. `warm_request_rate` is what warm endpoints answer for one unit
-of weight, a mean over windows that falls slowly (RATE_DECAY_FACTOR). While no endpoint has been seen warm,
-the arrivals of this node, spread evenly over the weight of all ready endpoints, stand in for it. A new bucket
-holds a random part of a token, so that the nodes' first requests do not come together.
+up to MAX_TOKEN_COUNT, and each attempt takes one. `warm_request_rate` is what warm endpoints answer for one
+unit of weight, a mean over windows that falls slowly (RATE_DECAY_FACTOR). While no endpoint has been seen
+warm, the arrivals of this node, spread evenly over the weight of all ready endpoints, stand in for it. A new
+bucket holds a random part of a token, so that the nodes' first requests do not come together.
 
 When other endpoints are lost, each remaining one is selected more often, and the tokens that all nodes have
 saved could be spent at once. Then only the part `burst_ratio` of the selections may spend them:
@@ -37,8 +37,8 @@
 from moleport.policy.timing import WINDOW_NS
 
 CAPACITY_MARGIN_RATIO = 0.8  # requests cost more than usual while caches are empty
-MAX_TOKENS = 2.0  # requests
-FLEET_INITIAL_TOKENS = 3.0  # requests of all nodes together: a fleet of one endpoint has to get some
+MAX_TOKEN_COUNT = 2.0  # requests
+FLEET_INITIAL_TOKEN_COUNT = 3.0  # requests of all nodes together: a fleet of one endpoint has to get some
 RATE_DECAY_FACTOR = 0.99  # each window
 ARRIVAL_SMOOTHING_FACTOR = 0.5  # each window
 
@@ -49,7 +49,10 @@
     def __init__(
         self, settings: api.Settings, random: Random, endpoints: EndpointSet, outliers: OutlierDetector
     ) -> None:
-        self._settings = settings
+        self._initial_ratio = settings.slow_start_initial_ratio
+        self._duration_ns = max(1, settings.slow_start_duration_ns)
+        self._overload_multiple = settings.overload_multiple
+        self._node_count = settings.node_count
         self._random = random
         self._endpoints = endpoints
         self._outliers = outliers
@@ -70,9 +73,8 @@
         if not endpoint.started_at_ns:
             return 1.0
         age_ns = max(0, now_ns - endpoint.started_at_ns)
-        progress = age_ns / max(1, self._settings.slow_start_duration_ns)
-        initial_ratio = self._settings.slow_start_initial_ratio
-        return initial_ratio + (1.0 - initial_ratio) * progress
+        progress = age_ns / self._duration_ns
+        return self._initial_ratio + (1.0 - self._initial_ratio) * progress
 
     def may_send(self, now_ns: int, status: EndpointStatus) -> bool:
         """Return whether an endpoint may be sent a request; refills its tokens."""
@@ -82,7 +84,7 @@
         request_rate = self._warm_request_rate or self._assumed_request_rate
         fill_rate = CAPACITY_MARGIN_RATIO * ratio * request_rate * status.endpoint.weight
         earned = fill_rate * (now_ns - status.refilled_at_ns)
-        status.slow_start_tokens = min(MAX_TOKENS, status.slow_start_tokens + earned)
+        status.slow_start_tokens = min(MAX_TOKEN_COUNT, status.slow_start_tokens + earned)
         status.refilled_at_ns = now_ns
         return status.slow_start_tokens >= 1.0 and self._random.random() < self._burst_ratio
 
@@ -103,7 +105,7 @@
     def initial_tokens(self, now_ns: int, endpoint: api.Endpoint) -> float:
         """Return the tokens of an endpoint that was just listed or has just started."""
         earned = CAPACITY_MARGIN_RATIO * min(1.0, self.capacity_ratio(now_ns, endpoint)) * self._burst_ratio
-        min_tokens = min(1.0, FLEET_INITIAL_TOKENS / self._settings.node_count)
+        min_tokens = min(1.0, FLEET_INITIAL_TOKEN_COUNT / self._node_count)
         return max(self._random.random() + earned, min_tokens)
 
     def add_ready(self, status: EndpointStatus) -> None:
@@ -149,7 +151,7 @@
         if not usual:
             self._burst_ratio = 1.0
             return
-        spare_multiple = max(0.0, self._settings.overload_multiple / CAPACITY_MARGIN_RATIO - 1.0)
+        spare_multiple = max(0.0, self._overload_multiple / CAPACITY_MARGIN_RATIO - 1.0)
         self._burst_ratio = min(1.0, spare_multiple * max(0.0, present) / usual)
 
     def _update_arrival_rate(self) -> None:
--- a/moleport/policy/timing.py
+++ b/moleport/policy/timing.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-WINDOW_NS = 500_000_000  # between two updates of what is measured
+WINDOW_NS = 500_000_000  # between two updates of the rates
 
 
 def jittered_ns(random: Random, max_ns: int, min_ratio: float) -> int:
