--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -1,1020 +1,247 @@
-"""All decisions of the balancer. Its events, actions and settings are in interface.py, beside this file.
+"""Routes the events of interface.py to the rules, and wires the rules together; holds no rule itself.
 
-The ordinary path of a request: its class's adaptive circuit breaker admits or refuses it at once; its key
-names two servers and the one with fewer of this node's own requests in flight gets it. The rest is what
-that leaves open: servers that fail, start, drain or leave, further attempts, and the list of servers.
+- Arrival of a request: admission (circuit_breaker, quotas), then key_ordering or at once selection
+- End of an attempt: connection_health, load_reports, rejection_rates, outlier_detection; then retries, and
+  final_answers where no retry is allowed
+- Update of the endpoint list: endpoint_registry, slow_start; discovery_polling decides when to ask for it
+- End of a window: admission, rejection_rates, hot_keys, hardware_types and slow_start update their rates
+
+What may be sent twice is decided by ActiveRequest in state.py.
 """
 
 from __future__ import annotations
 
-from bisect import bisect_left, insort
-from collections import defaultdict, deque
-from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
-from functools import partial
-from heapq import heappop, heappush
-from itertools import accumulate
-from math import exp, inf, sqrt
 from random import Random
 
 from moleport.policy import interface as api
-from moleport.policy.hashing import (
-    HASH_RATIO_SCALE,
-    MAX_WEIGHT,
-    MIN_WEIGHT,
-    WEIGHT_UNITS,
-    mix64,
-    to_weight_units,
-)
+from moleport.policy.actions import ActionBuffer, DeferredTasks
+from moleport.policy.admission import AdmissionControl
+from moleport.policy.connection_health import ConnectionHealth
+from moleport.policy.discovery_polling import DiscoveryPoller
+from moleport.policy.endpoint_registry import EndpointRegistry
+from moleport.policy.endpoint_set import EndpointSet
+from moleport.policy.final_answers import FinalAnswers
+from moleport.policy.hardware_types import HardwareTypes
 from moleport.policy.hot_keys import HotKeyTracker
-from moleport.policy.interface import (
-    NOT_EXECUTED,
-    AttemptResult,
-    DeduplicationScope,
-    DiscoveryMode,
-    EndpointState,
-    EndpointUpdateKind,
-    Idempotency,
-)
-from moleport.policy.zones import CandidateIndex
-
-SECOND = 1_000_000_000  # ns
-
-# The breaker: the paper's controller, its period and smoothing shorter as overload fills servers in seconds.
-PERIOD = SECOND // 2  # ns between two updates
-KEEP = 0.5  # p: part of the old alpha that an update keeps
-PERCENTILE = 0.85  # of response times: the last few are long by their own work, not by load
-TARGET = 0.7  # of a class's aim
-IDLE_BELOW = 0.6  # mean part of cores in use, by report: below it the target is the aim itself
-HEADROOM = 1.5  # times the unloaded tail: no target is below that, as no cap could reach it
-BASE_FALLS, BASE_RISES = 0.2, 0.01  # part of the way that the unloaded tail follows a window's
-CENSORED = 2.0  # times what was waited: an attempt that timed out would have taken longer
-START_PER_SERVER = 10.0  # requests in flight, of all nodes together: the cap until a window tells
-SPREADS = 2.0  # roots of the cap that chance may bunch above it
-LEAST_PER_SERVER = 0.3  # of a class, likewise, are always let in: without samples no cap could rise again
-PROVEN_PART = 0.5  # of the most that was lately carried within the target: the cap stays above that
-PROVEN_FADES = 0.99  # each window
-WORTH_ABOVE = 1.2  # times the worth for its work: a class whose threshold binds the lesser ones too
-WORTH_MORE = 2.0  # times the worth for its work: a class that the lesser ones leave room for
-RESERVE = 0.8  # part of such a class's threshold that they may fill
-RESUBMITTED_PART = 0.5  # of its cap, for a client's marked retry: its aim is part gone
-OVER_SHARE_PART = 0.5  # of its cap, for a tenant beyond its share
-SHARE_SLACK = 1.2  # times its share against the others' requests, before a tenant counts as beyond it
-SHARE_BURST = 20.0  # requests that a tenant's share may save up
-
-# Servers.
-FULL_WEIGHT = 0.2  # part of the newest outcome in a server's share of full answers
-FULL_FADES = 0.95  # of that share, each period: an avoided server brings no news
-FULL_TRACE = 1e-3  # of it is none
-FULL_ABOVE = 0.5  # of it: goes only to a server that is not, while there is one
-FULL_LOOKS = 100  # of them, before the least loaded is taken: more would cost more than they are worth
-FULL_COUNTS = 2.0  # a server always full is compared as with so many more requests in flight
-BUSY_ABOVE = 0.7  # part of its cores in use: above it a server counts as with up to one more in flight
-PACE_WEIGHT = 0.05  # part of the newest response time in a server's pace
-SLOW_ABOVE = 2.0  # slowness: its response times tell of it alone then, and close the breaker for no other
-KIND_WEIGHT = 0.1  # part of the newest report in what the servers of a kind are held to be busy
-KIND_REPORTS = 3  # fewer say nothing
-KIND_GAIN = 0.3  # of the way, in logarithms, that a kind's share goes in a window to where all are as busy
-KIND_LEAST = 0.1  # share
-DRAWS = 12  # tries to find two servers that may be used before any usable one is taken
-FAIL_WEIGHT = 0.3  # part of the newest outcome in a server's share of failures: two in a row eject
-SLOW_WEIGHT = 0.15  # the same for a time-out or a reset of a server that answers others: it is not down
-ANSWERS = SECOND // 2  # a server that did so lately does
-FLEET_WEIGHT = 0.02  # the same for all servers together: the last fifty outcomes or so
-EJECT_ABOVE = 0.5  # share of failures
-EJECT_TIMES_FLEET = 2.5  # and so much above the fleet's: what fails everywhere is no server's fault
-EJECT_WORSE = 0.25  # and so much above that of one that is out: takes its place where there is no other
-EJECT_PART = 1 / 4  # of the list at most: more leaves the others with more than they can carry
-UNREACHABLE_PART = 3 / 4  # the same where connections fail: that is no sign of load
-ANSWERED_LATELY = 2 * SECOND  # a failed connection is no failure of a server that did
-STALE = 8  # entries in the heap of the ejected for each of them, before it is made anew
-EJECT_TIME = 2 * SECOND  # doubles with each failed trial
-SLOW_START_CAUTION = 0.8  # of what a warm server takes: a cold server's keys are cold too and cost more
-COLD_SLACK = 3.0  # requests, of all nodes, that a cold server stands beyond its budget, however small that is
-SLOW_START_BURST = 2.0  # requests that a cold server's budget may save up
-IDLE_SURE = SECOND // 4  # a connection that idled for less is no worse than a new one
-LOST_WEIGHT, SILENT_WEIGHT = 0.2, 0.05  # part of the newest in what each sort loses; of an idle time-out
-LOST_ABOVE = 0.3  # two resets in a row or eight time-outs: idle connections are dropped unseen
-LOST_TIMES_NEW = 2.0  # and so much above the share of the others: what they lose too is not for idling
-CONNECT_LEAST = 0.1  # share of new connections that fail; one below it is none
-CONNECT_COUNTS = 8.0  # where all fail, a server without an idle one counts as with so many more in flight
-TRUST_DOUBLES = 10 * SECOND  # the time after which idle connections are trusted for twice as long again
-
-# Further attempts.
-RETRY_BUDGET = 0.1  # further attempts earned by each first one
-RETRY_BURST = 10.0  # that may be saved up
-REPEAT_WAY = SECOND // 50  # of the window of a keyed repeat: from its last byte written until it is there
-RETRY_LEAST = 0.5  # of what is usual for the class: with less time left no further attempt is made
-
-# The list.
-MANY = 50  # part of the list, one in: so many that come at once are sorted in, fewer inserted
-ASK_SPREAD = 0.5  # of the time within which to ask: many nodes starting at once spread their calls
-ASK_FIRST_PAUSE = SECOND  # doubles with each failed call
-ASK_LEAST_PAUSE = SECOND // 4
-TOLD_WITHIN = 5_750_000_000  # ns: a change counts as told 6 s after discovery had it, whatever failed before
-CALL_TIME = 2_500_000_000  # ns that a call takes at most until it has brought a list or has failed
-SILENT_TIME = 3 * SECOND  # after which a watch that has gone silent has failed
-DOUBLINGS = 4  # of that pause and of an ejection, at most
-
-
-@dataclass(slots=True)
-class InFlight:
-    """Requests in flight, now and in the mean of late."""
-
-    count: int = 0
-    mean: float = 0.0
-    changed: int = 0
-
-    def add(self, now: int, change: int) -> None:
-        keep = exp((self.changed - now) / PERIOD)
-        self.mean = keep * self.mean + (1.0 - keep) * self.count
-        self.count += change
-        self.changed = now
-
-    def is_below(self, now: int, cap: float) -> bool:
-        """At a small share of the traffic a cap is near one or less, and chance bunches a few requests where
-        the mean is far from it: up to a few spreads above the cap are let in while the mean is below it."""
-        self.add(now, 0)
-        return self.count + 1 <= cap or (self.mean < cap and self.count < cap + SPREADS * sqrt(cap))
-
-
-@dataclass(slots=True)
-class Breaker:
-    """The paper's controller for one class: at how many requests in flight at this node it meets its aim."""
-
-    aim: int
-    target: float = 0.0
-    base: float = 0.0  # the tail where little waits: followed down fast and up slowly
-    alpha: float = 0.0  # response time for each request in flight; 0 until a window has told
-    proven: float = 0.0  # requests in flight, all classes
-    typical: float = 0.0  # response time: a measure of the class's work
-    in_flight: InFlight = field(default_factory=InFlight)  # of this class
-    samples: list[float] = field(default_factory=list)
-
-    def __post_init__(self) -> None:
-        self.target, self.typical = TARGET * self.aim, float(self.aim)
-
-    def threshold(self, start: float) -> float:
-        return max(self.target / self.alpha, PROVEN_PART * self.proven) if self.alpha else start
-
-    def update(self, in_flight: float, start: float, idle: bool) -> None:
-        """At the end of a window, with the mean of the requests in flight in it."""
-        if self.samples and in_flight:
-            self.samples.sort()
-            # An answer within the same tick took no time: a zero would divide.
-            tail = max(1.0, self.samples[int(PERCENTILE * (len(self.samples) - 1))])
-            self.typical += (1 - KEEP) * (self.samples[len(self.samples) // 2] - self.typical)
-            follow = BASE_FALLS if tail < self.base else BASE_RISES
-            self.base = self.base + follow * (tail - self.base) if self.base else tail
-            self.target = min(self.aim, max((1.0 if idle else TARGET) * self.aim, HEADROOM * self.base))
-            # Where all servers turn slow, no cap can meet the target and the plain rule falls without end.
-            self.proven = max(PROVEN_FADES * self.proven, in_flight if tail <= self.target else 0.0)
-            alpha = tail / in_flight
-            # A window within its target can't lower the cap: a quiet one would, and refuse the next burst.
-            if tail > self.target or self.target / alpha > self.threshold(start):
-                self.alpha = KEEP * (self.alpha or self.target / max(1.0, start)) + (1 - KEEP) * alpha
-        self.samples.clear()
-
-
-@dataclass(slots=True, eq=False)
-class Backend:
-    """What this node knows of one server."""
-
-    entry: api.Endpoint
-    tokens: float
-    refilled: int
-    in_flight: int = 0
-    idle: list[int] = field(default_factory=list)  # since when each connection is idle
-    fullness: dict[int, float] = field(default_factory=dict)
-    """Share of full answers, lately, by class: a server may have room for some and turn others away."""
-    busy: float = 0.0  # part of its cores in use, as last reported
-    pace: float = 1.0  # its response times over what is usual for their class
-    slowness: float = 1.0  # the same with what was waited for answers that did not come
-    answered: int = 0  # when it last did
-    listed: int = 0  # when this node heard of it, or of its last start
-    ready: bool = False  # has a place among the candidates
-    warm_units: int = 0  # of its weight, as counted in that of all warm servers
-    failures: float = 0.0
-    ejected_until: int = 0
-    doublings: int = 0
-    trial: bool = False
-
-    def silence(self, now: int) -> int:
-        """For how long it could have answered and has not. One just listed has not been silent since ever."""
-        return now - max(self.answered, self.listed)
-
-    def forgive(self) -> None:
-        self.failures = 0.0
-        self.ejected_until, self.doublings, self.trial = 0, 0, False
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    backend: Backend
-    sent: int
-    idle: int  # for how long its connection had been; 0: a new one
-    result: AttemptResult | None = None
-
-
-@dataclass(slots=True, eq=False)
-class Open:
-    """A request that is unanswered or has attempts out."""
-
-    request: api.Request
-    kind: api.RequestClass
-    expires: int
-    useful_until: int  # an answer after the aim that is worth nothing is not waited for
-    attempts: list[Attempt] = field(default_factory=list)
-    closed: bool = False
-
-    def is_over(self) -> bool:
-        return self.closed and all(attempt.result is not None for attempt in self.attempts)
-
-    def may_have_run(self) -> list[Attempt]:
-        return [attempt for attempt in self.attempts if attempt.result not in NOT_EXECUTED]
-
-    def may_refuse(self) -> bool:
-        """A refusal says that trying again is harmless."""
-        if self.kind.idempotency is Idempotency.IDEMPOTENT or not self.may_have_run():
-            return True
-        return (
-            self.kind.idempotency is Idempotency.IDEMPOTENCY_KEY
-            and self.kind.deduplication_scope is DeduplicationScope.ALL
-            and self.request.key != 0
-        )
-
-    def may_send_to(self, server: api.Endpoint, now: int) -> bool:
-        """No effect twice: a keyed request stays with those that drop its repeats, while they do."""
-        if self.kind.idempotency is Idempotency.IDEMPOTENT:
-            return True
-        return all(self._drops_repeat(server, earlier, now) for earlier in self.may_have_run())
-
-    def _drops_repeat(self, server: api.Endpoint, earlier: Attempt, now: int) -> bool:
-        # Without a key no server can know the repeat.
-        if (
-            self.kind.idempotency is not Idempotency.IDEMPOTENCY_KEY
-            or not self.request.key
-            or now >= self.write_by()
-        ):
-            return False
-        if self.kind.deduplication_scope is DeduplicationScope.ZONE:
-            return server.zone == earlier.backend.entry.zone
-        return (
-            self.kind.deduplication_scope is DeduplicationScope.ALL
-            or server.cell == earlier.backend.entry.cell
-        )
-
-    def write_by(self) -> int:
-        """One that waits for its connection until its key is forgotten would run again. 0: no bound."""
-        ran = self.may_have_run() if self.kind.idempotency is Idempotency.IDEMPOTENCY_KEY else []
-        return ran[0].sent + self.kind.deduplication_window_ns - REPEAT_WAY if ran else 0
-
-
-@dataclass(slots=True)
-class Kind:
-    """What this node knows of the servers that the list puts into one group."""
-
-    share: float = 1.0  # of the keys that hash to them, against those of the group that can do most
-    busy: float = 0.0  # part of their cores in use, by their own reports
-    reports: int = 0
-
+from moleport.policy.interface import AttemptResult, EndpointUpdateKind, TimerId
+from moleport.policy.key_ordering import KeyOrdering
+from moleport.policy.load_reports import LoadReports
+from moleport.policy.outlier_detection import OutlierDetector
+from moleport.policy.rejection_rates import RejectionRates
+from moleport.policy.retries import RetryPolicy
+from moleport.policy.selection import EndpointSelector
+from moleport.policy.slow_start import SlowStart
+from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
+from moleport.policy.timing import WINDOW_NS, jittered_ns
 
-@dataclass(slots=True)
-class KeyQueue:
-    """The requests of one key that run in order: the first has the turn, the others wait."""
-
-    entries: deque[Open] = field(default_factory=deque)
-    cools_until: int = 0  # what may still run at a server is given this long
+MIN_TIMEOUT_NS = 1
 
 
 class Balancer:
-    """One node's decisions: timed events in, actions out. No clock, no input or output of its own."""
+    """One node's decisions: timed events in, actions out. It has no clock and does no input or output."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._settings = settings
         self._random = Random(seed)
-        self._breakers = [Breaker(kind.latency_objective_ns) for kind in settings.classes]
-        self._backends: dict[api.EndpointId, Backend] = {}
-        self._ready: list[Backend] = []  # by id
-        self._candidates: CandidateIndex[Backend] = CandidateIndex(settings.zone)
-        self._changed: dict[api.EndpointId, None] = {}  # entries that the list just changed
-        # Of those that are ready, by what ticks look at; a dict's order is the same in each process.
-        self._ejected: dict[Backend, None] = {}
-        self._by_failures: list[
-            tuple[float, api.EndpointId]
-        ] = []  # a heap of the ejected, with stale entries
-        self._cold: dict[Backend, None] = {}  # or not yet known to be warm
-        self._warm_units = 0  # weight of those that are warm
-        self._busy = 0  # sum of their parts of cores in use, in 1 / UNITS: whole numbers don't drift
-        self._filled: dict[Backend, None] = {}  # all that gave full answers lately
-        self._open: dict[int, Open] = {}
-        self._caps = [0.0] * len(settings.classes)  # requests in flight at which a class is refused
-        self._in_flight = InFlight()
-        self._arrivals = 0  # of all tenants
-        self._shares: dict[int, tuple[float, int]] = {}  # a tenant's credit, and arrivals at its last request
-        self._later: list[tuple[int, int, Callable[[int], None]]] = []  # a heap: when, number, what to do
-        self._laters = self._failed_calls = 0
-        self._asked: int | None = None  # when, while the call is unanswered
-        self._lost_idle = self._lost_others = 0.0  # share of attempts without an answer, by connection
-        self._fleet_failures = self._connect_failures = 0.0  # share of attempts, and of new connections
-        self._trusted_idle = self._distrusted = 0  # idle time of a connection that is trusted, and since when
-        self._kinds: defaultdict[int, Kind] = defaultdict(Kind)
-        self._key_queues: dict[int, KeyQueue] = {}  # by key
-        self._retry_budget = RETRY_BURST
-        self._hitters = HotKeyTracker()  # among the keys
-        self._answered = 0  # requests, by warm servers in this window
-        self._warm_answers = self._warm_time = self._time = 0.0  # the same, their weight by time, and time
-        self._rate = 0.0  # answers per nanosecond and unit of a warm server's weight, lately
-        self._window_requests = 0  # arrivals in this window
-        self._arrival_rate = 0.0  # requests per nanosecond, lately
-        self._assumed_rate = 0.0  # stands in for the rate of warm servers while none was measured
-        self._visits = 1.0  # part of the visits to a cold server that may use what is saved up
-        self._watching = False
-        self._actions: list[api.Action] = []
-
-    # Events.
-
-    def start(self, now: int) -> list[api.Action]:
-        """First actions; the cached list follows. Each node has its own phase: all would cut together."""
-        actions: list[api.Action] = [api.SetTimer(now + self._jittered(PERIOD, 0.0), api.TimerId.UPDATE)]
-        if self._settings.discovery_mode is DiscoveryMode.POLL:
-            spread = min(int(self._settings.poll_interval_ns * ASK_SPREAD), TOLD_WITHIN - CALL_TIME)
-            actions.append(api.SetTimer(now + self._jittered(spread, 0.0), api.TimerId.POLL))
-        return actions
+        self._actions = ActionBuffer()
+        self._deferred = DeferredTasks()
+        self._active_requests: dict[int, ActiveRequest] = {}
+        self._endpoints = EndpointSet(settings.zone)
+        self._hot_keys = HotKeyTracker()
+        self._hardware_types = HardwareTypes()
+        self._load_reports = LoadReports(settings, self._hardware_types)
+        self._rejection_rates = RejectionRates()
+        self._connections = ConnectionHealth(settings.idle_timeout_ns, self._actions)
+        self._outliers = OutlierDetector(self._endpoints, self._random)
+        self._slow_start = SlowStart(settings, self._random, self._endpoints, self._outliers)
+        self._registry = EndpointRegistry(
+            self._endpoints, self._outliers, self._slow_start, self._load_reports
+        )
+        self._poller = DiscoveryPoller(settings, self._random, self._actions)
+        self._admission = AdmissionControl(
+            settings, self._endpoints, self._connections, self._load_reports, self._slow_start, self._deferred
+        )
+        self._selector = EndpointSelector(
+            self._random,
+            self._endpoints,
+            self._hot_keys,
+            self._hardware_types,
+            self._connections,
+            self._outliers,
+            self._slow_start,
+        )
+        self._retries = RetryPolicy(settings.max_attempts, self._admission)
+        self._final_answers = FinalAnswers(settings, self._actions)
+        self._key_ordering = KeyOrdering(
+            settings.key_cooldown_ns,
+            self._active_requests,
+            self._admission,
+            self._final_answers,
+            self._deferred,
+            self._actions,
+            self._send_first,
+            self._abandon_unsent,
+        )
 
-    def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        self._actions = []
-        while self._later and self._later[0][0] <= now:
-            heappop(self._later)[2](now)
+    def start(self, now_ns: int) -> list[api.Action]:
+        """Return the first actions; the cached endpoint list follows as an event.
+
+        The windows of the nodes begin at random times, or all nodes would shed load at once.
+        """
+        self._actions.pending = []
+        window_ends_ns = now_ns + jittered_ns(self._random, WINDOW_NS, 0.0)
+        self._actions.emit(api.SetTimer(window_ends_ns, TimerId.UPDATE))
+        self._poller.start(now_ns)
+        return self._actions.pending
+
+    def handle(self, now_ns: int, event: api.Event) -> list[api.Action]:
+        """Return the actions that an event leads to; times never decrease from event to event."""
+        self._actions.pending = []
+        self._deferred.run_due(now_ns)
         if isinstance(event, api.Request):
-            self._arrive(now, event)
+            self._on_request(now_ns, event)
         elif isinstance(event, api.AttemptOutcome):
-            self._settle(now, event)
+            self._on_attempt_outcome(now_ns, event)
         elif isinstance(event, api.TimerFired):
-            self._wake(now, event.timer_id)
+            self._on_timer(now_ns, event.timer_id)
         elif isinstance(event, api.EndpointUpdate):
-            self._follow(now, event)
+            self._on_endpoint_update(now_ns, event)
         elif isinstance(event, api.ClientDisconnected):
-            self._close(now, event)
-        return self._actions
-
-    def _jittered(self, span: int, least: float) -> int:
-        return int(span * self._random.uniform(least, 1.0))
+            self._on_client_disconnected(now_ns, event)
+        return self._actions.pending
 
-    def _do_later(self, at: int, what: Callable[[int], None]) -> None:
-        """With the first event from then on; where no other may come, its caller sets a timer too."""
-        self._laters += 1
-        heappush(self._later, (at, self._laters, what))
-
-    def _wake(self, now: int, token: int) -> None:
-        if token == api.TimerId.UPDATE:
-            self._in_flight.add(now, 0)
-            for breaker in self._breakers:
-                breaker.update(self._in_flight.mean, self._start_cap(), self._is_idle())
-            self._set_caps()
-            self._fade_fullness()
-            self._hitters.update(len(self._ready))
-            self._share_by_kind()
-            self._measure_rate(now)
-            self._actions.append(api.SetTimer(now + PERIOD, api.TimerId.UPDATE))
-        elif token == api.TimerId.POLL and not self._watching:
-            self._watching, self._asked = True, now  # or about to; a failure takes it back
-            self._actions.append(api.WatchEndpoints())
-
-    # The breaker.
-
-    def _is_idle(self) -> bool:
-        """By their own reports: a long tail is not from crowding then. They are late, so the aim binds."""
-        told = "utilization" in self._settings.load_report_fields
-        return told and self._busy < IDLE_BELOW * len(self._ready) * WEIGHT_UNITS
-
-    def _start_cap(self) -> float:
-        return START_PER_SERVER * len(self._ready) / self._settings.node_count
-
-    def _set_caps(self) -> None:
-        """A class stops at its own threshold, and short of those of the classes that are worth more. All
-        stop sooner where fewer than half of all attempts are answered: overdriven servers need to rest."""
-        brake = min(1.0, 2.0 * (1.0 - self._lost_others))
-        start = self._start_cap()
-        thresholds = [breaker.threshold(start) for breaker in self._breakers]
-        values = [self._value(index) for index in range(len(thresholds))]
-        # By falling value, and the lowest threshold of each and all before it: settings may hold hundreds.
-        order = sorted(range(len(values)), key=values.__getitem__, reverse=True)
-        lowest = list(accumulate((thresholds[index] for index in order), min))
-        falling = [-values[index] for index in order]
-        for index, cap in enumerate(thresholds):
-            if above := bisect_left(falling, -WORTH_ABOVE * values[index]):
-                cap = min(cap, lowest[above - 1])
-            if above := bisect_left(falling, -WORTH_MORE * values[index]):
-                cap = min(cap, RESERVE * lowest[above - 1])
-            self._caps[index] = brake * cap
-
-    def _admits(self, now: int, request: api.Request) -> bool:
-        part = OVER_SHARE_PART if self._is_over_share(request.tenant_index) else 1.0
-        return self._has_room(now, request, part * RESUBMITTED_PART if request.is_client_retry else part)
-
-    def _has_room(self, now: int, request: api.Request, part: float = 1.0) -> bool:
-        least = LEAST_PER_SERVER * len(self._ready) / self._settings.node_count
-        own = self._breakers[request.class_index].in_flight
-        cap = part * self._caps[request.class_index]
-        return self._in_flight.is_below(now, cap) or own.is_below(now, least)
-
-    def _is_over_share(self, tenant: int) -> bool:
-        """Measured against the other tenants' requests at this node: what part of all traffic the node
-        carries does not matter, nor does the surging tenant's own."""
-        if tenant >= len(self._settings.tenants):
-            return False
-        self._arrivals += 1
-        share = min(0.99, self._settings.tenants[tenant].quota_ratio)
-        credit, seen = self._shares.get(tenant, (SHARE_BURST, 0))
-        others = self._arrivals - 1 - seen
-        credit = min(SHARE_BURST, credit + SHARE_SLACK * share / (1.0 - share) * others)
-        over = credit < 1.0
-        self._shares[tenant] = (credit if over else credit - 1.0, self._arrivals)
-        return over
-
-    def _value(self, index: int) -> float:
-        """Worth for a unit of work."""
-        worth = self._settings.classes[index].priority_weight
-        return worth if self._settings.weight_by_work else worth / max(1.0, self._breakers[index].typical)
-
-    # Requests.
-
-    def _arrive(self, now: int, request: api.Request) -> None:
-        kind = self._settings.classes[request.class_index]
-        self._window_requests += 1
+    def _on_request(self, now_ns: int, request: api.Request) -> None:
+        request_class = self._settings.classes[request.class_index]
+        self._slow_start.on_request()
         if request.key:
-            self._hitters.record(request.key)
-        expires = now + request.remaining_ns
-        entry = Open(
-            request,
-            kind,
-            expires,
-            expires if kind.late_weight_ratio else min(expires, now + kind.latency_objective_ns),
-        )
-        send = self._enqueue if kind.ordered_by_key and request.key else self._send_first
-        if not self._admits(now, request) or not send(now, entry):
-            self._refuse(entry)
-
-    def _send_first(self, now: int, entry: Open) -> bool:
-        if (backend := self._choose(now, entry)) is None:
-            return False
-        self._retry_budget = min(RETRY_BURST, self._retry_budget + RETRY_BUDGET)
-        self._open[entry.request.id] = entry
-        self._send(now, entry, backend)
-        return True
-
-    def _send(self, now: int, entry: Open, backend: Backend) -> None:
-        idle, time_out = self._connect(now, backend), max(1, entry.useful_until - now)
-        self._actions.append(api.Forward(entry.request.id, backend.entry.id, time_out, entry.write_by()))
-        entry.attempts.append(Attempt(backend, now, idle))
-        backend.in_flight += 1
-        backend.trial = backend.ejected_until > 0
-        if self._warmth(now, backend.entry) < 1.0:
-            backend.tokens -= 1.0
-        self._in_flight.add(now, 1)
-        self._breakers[entry.request.class_index].in_flight.add(now, 1)
-
-    def _settle(self, now: int, outcome: api.AttemptOutcome) -> None:
-        entry = self._open.get(outcome.request_id)
-        if entry is None or outcome.attempt_index >= len(entry.attempts):
+            self._hot_keys.record(request.key)
+        useful_until_ns = now_ns + request.remaining_ns
+        if not request_class.late_weight_ratio:
+            useful_until_ns = min(useful_until_ns, now_ns + request_class.latency_objective_ns)
+        active = ActiveRequest(request, request_class, useful_until_ns)
+        is_ordered = request_class.ordered_by_key and request.key
+        send = self._key_ordering.enqueue if is_ordered else self._send_first
+        if not self._admission.admits(now_ns, request) or not send(now_ns, active):
+            self._final_answers.reject(active)
+
+    def _on_attempt_outcome(self, now_ns: int, outcome: api.AttemptOutcome) -> None:
+        active = self._active_requests.get(outcome.request_id)
+        if active is None or outcome.attempt_index >= len(active.attempts):
             return
-        attempt = entry.attempts[outcome.attempt_index]
+        attempt = active.attempts[outcome.attempt_index]
         if attempt.result is not None:
             return
         attempt.result = outcome.result
-        self._cool_down(now, entry, outcome.result)
-        # What was lost to a dropped connection tells no more of its server than a cancelled attempt does, nor
-        # does a time-out before an answer could be there: a further attempt gets what time is left.
-        enough = min(self._typical(entry), TARGET * entry.kind.latency_objective_ns)
-        hasty = outcome.result is AttemptResult.TIMEOUT and outcome.elapsed_ns < enough
-        result = AttemptResult.CANCELLED if self._note_connection(now, attempt) or hasty else outcome.result
-        # Where servers report, only a report tells that one is idle again: an answer may come without one.
-        if outcome.result is AttemptResult.OK and "utilization" not in self._settings.load_report_fields:
-            self._set_busy(attempt.backend, 0.0)
-        self._answered += (
-            outcome.result is AttemptResult.OK and self._warmth(now, attempt.backend.entry) >= 1.0
-        )
-        self._note_report(attempt.backend, outcome.load_report)
-        if outcome.result is AttemptResult.TIMEOUT and not attempt.backend.ejected_until:
-            until = now + min(outcome.elapsed_ns, entry.kind.latency_objective_ns)
-            # A server may go on with work that nobody waits for: freed at once, it would be filled again.
-            self._do_later(until, partial(self._release, attempt.backend, entry))
-        else:
-            self._release(attempt.backend, entry, now)
-        self._detect_outlier(now, attempt.backend, result, entry.request.class_index)
-        entry.closed |= outcome.is_answered
-        again = not entry.closed and self._try_again(now, entry, outcome.result)
-        if result is outcome.result:
-            self._sample(now, entry, attempt, outcome.elapsed_ns, again)
-        if not entry.closed and not again:
-            self._end(entry)
-        self._forget_if_done(now, entry)
-
-    def _typical(self, entry: Open) -> float:
-        return self._breakers[entry.request.class_index].typical
-
-    def _sample(self, now: int, entry: Open, attempt: Attempt, elapsed: int, again: bool) -> None:
-        if attempt.backend.ejected_until or self._warmth(now, attempt.backend.entry) < 1.0:
-            return  # it tells of that server: silent and cold ones would close the breaker for all the others
-        breaker = self._breakers[entry.request.class_index]
-        if attempt.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
-            backend, answered, ratio = (
-                attempt.backend,
-                attempt.result is AttemptResult.OK,
-                elapsed / breaker.typical,
-            )
-            backend.slowness += PACE_WEIGHT * (ratio - backend.slowness)
-            if answered:
-                backend.pace += PACE_WEIGHT * (ratio - backend.pace)
-            if backend.slowness < SLOW_ABOVE:
-                breaker.samples.append(elapsed if answered else CENSORED * elapsed)
-        elif (
-            attempt.result is AttemptResult.REJECTED and not again
-        ):  # a fast failure, but no sign of a fast server
-            breaker.samples.append(CENSORED * entry.kind.latency_objective_ns)
-
-    def _release(self, backend: Backend, entry: Open, now: int) -> None:
-        backend.in_flight -= 1
-        self._in_flight.add(now, -1)
-        self._breakers[entry.request.class_index].in_flight.add(now, -1)
-
-    def _try_again(self, now: int, entry: Open, result: AttemptResult) -> bool:
-        """True if the request needs no final answer now: it went out again, or is out still."""
-        if any(attempt.result is None for attempt in entry.attempts):
-            return True
-        left = entry.useful_until - now
-        if left <= RETRY_LEAST * self._typical(entry) or len(entry.attempts) >= self._settings.max_attempts:
-            return False
-        nothing_arrived = result in (AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
-        price = 0.0 if nothing_arrived else 1.0
-        if self._retry_budget < price or (backend := self._choose(now, entry)) is None:
+        self._key_ordering.cool_down(now_ns, active, outcome.result)
+        is_conclusive = self._is_conclusive(now_ns, active, attempt, outcome)
+        class_index = active.request.class_index
+        self._admission.on_attempt_ended(now_ns, class_index, attempt, outcome.elapsed_ns)
+        shown = outcome.result if is_conclusive else AttemptResult.CANCELLED
+        self._record_result(now_ns, attempt.status, shown, class_index)
+        active.is_closed |= outcome.is_answered
+        is_retried = not active.is_closed and self._retry(now_ns, active, outcome.result)
+        if is_conclusive:
+            self._admission.record_response(now_ns, active, attempt, outcome.elapsed_ns, is_retried)
+        if not active.is_closed and not is_retried:
+            self._final_answers.finish(active)
+        self._forget_if_complete(now_ns, active)
+
+    def _on_timer(self, now_ns: int, timer_id: int) -> None:
+        if timer_id == TimerId.UPDATE:
+            self._end_window(now_ns)
+        elif timer_id == TimerId.POLL:
+            self._poller.on_timer(now_ns)
+
+    def _on_endpoint_update(self, now_ns: int, update: api.EndpointUpdate) -> None:
+        if update.kind is EndpointUpdateKind.FAILED:
+            self._poller.on_failure(now_ns)
+            return
+        if update.kind is not EndpointUpdateKind.CACHED:
+            self._poller.on_list()
+        self._registry.apply_update(now_ns, update)
+        self._admission.update_caps()
+        self._slow_start.update_burst_ratio(now_ns)
+        if not self._endpoints.ready:
+            self._poller.on_empty_list(now_ns)
+
+    def _on_client_disconnected(self, now_ns: int, event: api.ClientDisconnected) -> None:
+        active = self._active_requests.get(event.request_id)
+        if active is None:
+            return
+        active.useful_until_ns = now_ns
+        active.is_closed |= not event.is_half_closed
+        self._abandon_unsent(active, now_ns)
+
+    def _end_window(self, now_ns: int) -> None:
+        self._admission.end_window(now_ns)
+        self._rejection_rates.decay()
+        self._hot_keys.update(len(self._endpoints.ready))
+        if self._endpoints.candidates.has_equal_weights():
+            self._hardware_types.update_ratios()
+        self._slow_start.end_window(now_ns)
+        self._actions.emit(api.SetTimer(now_ns + WINDOW_NS, TimerId.UPDATE))
+
+    def _send_first(self, now_ns: int, active: ActiveRequest) -> bool:
+        """Send a request's first attempt; return False if no endpoint may be used."""
+        status = self._selector.select(now_ns, active)
+        if status is None:
             return False
-        self._retry_budget -= price
-        self._send(now, entry, backend)
+        self._retries.on_first_attempt()
+        self._active_requests[active.request.id] = active
+        self._send(now_ns, active, status)
         return True
 
-    def _end(self, entry: Open) -> None:
-        entry.closed = True
-        if entry.may_refuse():
-            self._refuse(entry)
-        else:
-            self._actions.append(api.Fail(entry.request.id))
-
-    def _refuse(self, entry: Open) -> None:
-        # Past its aim an answer is worth nothing, and who comes back for one takes the room of another.
-        most = self._settings.max_retry_after_ns
-        wait = min(entry.kind.latency_objective_ns, most) if entry.kind.late_weight_ratio else most
-        self._actions.append(api.Reject(entry.request.id, wait if self._settings.sends_retry_after else 0))
-
-    def _close(self, now: int, event: api.ClientDisconnected) -> None:
-        if entry := self._open.get(event.request_id):
-            entry.useful_until = now
-            entry.closed |= not event.is_half_closed
-            self._give_up_waiting(entry, now)
-
-    def _forget_if_done(self, now: int, entry: Open) -> None:
-        done = entry.is_over() and self._open.pop(entry.request.id, None) is not None
-        if done and entry.request.key in self._key_queues:
-            self._send_next_of_key(entry.request.key, now)
-
-    # Order.
-
-    def _enqueue(self, now: int, entry: Open) -> bool:
-        """Take the key's turn, or wait for it where it will come in time: refused now, the client may
-        find another node, whose queue for this key is its own."""
-        key = entry.request.key
-        turns = self._key_queues.get(key)
-        if turns is None:
-            if not self._send_first(now, entry):
-                return False
-            self._key_queues[key] = turns = KeyQueue()
-        else:
-            typical = int(self._typical(entry))
-            ahead = sum(1 for other in turns.entries if not other.closed) * typical
-            latest = entry.useful_until - typical
-            if max(now, turns.cools_until) + ahead > latest:
-                return False
-            self._open[entry.request.id] = entry
-            self._do_later(latest, partial(self._give_up_waiting, entry))
-            self._actions.append(api.SetTimer(latest, api.TimerId.DEFERRED))
-        turns.entries.append(entry)
-        return True
-
-    def _give_up_waiting(self, entry: Open, now: int) -> None:
-        if not entry.attempts and not entry.closed:
-            self._end(entry)
-        self._forget_if_done(now, entry)
-
-    def _cool_down(self, now: int, entry: Open, result: AttemptResult) -> None:
-        """An attempt without an answer may still run: the key's next request waits for a while."""
-        turns = self._key_queues.get(entry.request.key) if entry.kind.ordered_by_key else None
-        if turns is not None and result in (
-            AttemptResult.TIMEOUT,
-            AttemptResult.RESET,
-            AttemptResult.CANCELLED,
-        ):
-            turns.cools_until = now + self._settings.key_cooldown_ns
-
-    def _send_next_of_key(self, key: int, now: int) -> None:
-        """Send the first that waits, once all before it are over; forget a key that nobody waits for."""
-        turns = self._key_queues.get(key)
-        while turns is not None:
-            while turns.entries and turns.entries[0].is_over():
-                turns.entries.popleft()
-            if turns.entries and turns.entries[0].attempts:
-                return
-            if now < turns.cools_until:
-                self._do_later(turns.cools_until, partial(self._send_next_of_key, key))
-                self._actions.append(api.SetTimer(turns.cools_until, api.TimerId.DEFERRED))
-                return
-            if not turns.entries:
-                del self._key_queues[key]
-                return
-            first = turns.entries[0]
-            if self._has_room(now, first.request) and self._send_first(now, first):
-                return
-            self._end(first)
-            del self._open[first.request.id]
-
-    # The choice of a server.
-
-    def _choose(self, now: int, entry: Open) -> Backend | None:
-        seen = {attempt.backend for attempt in entry.attempts}
-        # After a failed connection any server with an idle one is better than the less loaded of two.
-        unconnected = bool(seen) and entry.attempts[-1].result is AttemptResult.CONNECT_FAILED
-        wanted = DRAWS if unconnected else 2
-        pair: list[Backend] = []
-        full: list[Backend] = []
-        for backend in self._preferred(entry):
-            if backend in seen or (entry.attempts and not entry.may_send_to(backend.entry, now)):
-                continue
-            seen.add(backend)
-            if self._usable(now, backend):
-                is_full = backend.fullness.get(entry.request.class_index, 0.0) > FULL_ABOVE
-                (full if is_full else pair).append(backend)
-                if len(pair) == wanted or len(full) == FULL_LOOKS:
-                    break
-        return min(pair or full, key=partial(self._load, now, entry.request.class_index), default=None)
-
-    def _preferred(self, entry: Open) -> Iterator[Backend]:
-        """Servers in the order of this request's preference; some come more than once. Every other one is of
-        the own zone: with no or one request in flight the first gets it, and at random most would cross."""
-        if ready := self._ready:
-            find, kinds = self._candidates.find, self._kinds
-            key = entry.request.key or self._random.getrandbits(64)
-            spread = self._hitters.fan_out.get(key, 1)
-            first = self._random.randrange(spread) if spread > 1 else 0
-            for draw in range(first, first + DRAWS):
-                place = mix64(key + draw)
-                backend = find(place, not (draw - first) % 2)
-                if backend is not None:
-                    share = kinds[backend.entry.hardware_type].share
-                    if share >= 1.0 or place >> 44 < share * HASH_RATIO_SCALE:
-                        yield backend
-            turn = mix64(key) % len(ready)  # the head of the list would get all that finds no other
-            for place in range(turn, turn + len(ready)):
-                yield ready[place % len(ready)]
-
-    def _share_by_kind(self) -> None:
-        """Where the list gives all servers the same weight they may differ all the same, and by far: a node
-        sees each too seldom, but its kind often enough. Keys that a kind gives up keep their other places.
-        Guards against any lasting difference between groups; wrong only if their reports mislead."""
-        kinds = list(self._kinds.values())
-        told = min((kind.reports for kind in kinds), default=0) >= KIND_REPORTS
-        if not told or not self._candidates.has_equal_weights():
-            return
-        for kind in kinds:
-            kind.share /= max(KIND_LEAST, kind.busy) ** KIND_GAIN
-        most = max(kind.share for kind in kinds)
-        for kind in kinds:
-            kind.share = max(KIND_LEAST, kind.share / most)
-
-    def _measure_rate(self, now: int) -> None:
-        """What warm servers answer: no loss of others makes that more than they can do, as it does with what
-        they are sent. Rises slowly: what a node sees of few servers in a window is chance, and what each
-        node holds adds up."""
-        self._warm_answers = PROVEN_FADES * self._warm_answers + self._answered
-        self._warm_time = PROVEN_FADES * self._warm_time + PERIOD * self._warm_weight(now)
-        self._time = PROVEN_FADES * self._time + PERIOD
-        self._find_surge(now)
-        mean = self._warm_answers / self._warm_time if self._warm_time else 0.0
-        # Falls slowly: while the breaker refuses much, cold servers would get the less for it too.
-        self._rate = max(mean, PROVEN_FADES * self._rate)
-        self._answered = 0
-        newest = self._window_requests / PERIOD
-        self._arrival_rate += (1.0 - KEEP) * (newest - self._arrival_rate) if self._arrival_rate else newest
-        self._window_requests = 0
-        self._assumed_rate = self._rate or self._assume_rate()
-
-    def _assume_rate(self) -> float:
-        """What a warm server takes for its weight, in requests per nanosecond, where none was seen warm yet,
-        as after a start amid a release: the fleet is taken to be able to do, warm, what it is asked for, each
-        server its even part of this node's arrivals. Too much only where more is asked for than the fleet can
-        do; the fall multiple and the caution leave room for that."""
-        weight = sum(backend.entry.weight for backend in self._ready)
-        return self._arrival_rate / weight if weight else 0.0
-
-    def _warm_weight(self, now: int) -> float:
-        """Of the servers that are ready. Looks at those that were cold when it last did."""
-        for backend in [one for one in self._cold if self._warmth(now, one.entry) >= 1.0]:
-            del self._cold[backend]
-            backend.warm_units = to_weight_units(backend.entry.weight)
-            self._warm_units += backend.warm_units
-        return self._warm_units / WEIGHT_UNITS
-
-    def _load(self, now: int, class_index: int, backend: Backend) -> float:
-        """In requests in flight; what the server itself told adds to this node's own. Where new connections
-        fail or take long, one that stands is worth a detour."""
-        load = float(backend.in_flight)
-        if backend.busy > BUSY_ABOVE:
-            load += (backend.busy - BUSY_ABOVE) / (1.0 - BUSY_ABOVE)
-        if fullness := backend.fullness.get(class_index):
-            load += FULL_COUNTS * round(fullness, 1)  # no trace may break ties
-        if self._connect_failures > CONNECT_LEAST and not self._standing(now, backend):
-            load += CONNECT_COUNTS * self._connect_failures
-        return load * backend.pace / (backend.entry.weight * self._kinds[backend.entry.hardware_type].share)
-
-    def _usable(self, now: int, backend: Backend) -> bool:
-        if backend.ejected_until and (backend.trial or now < backend.ejected_until):
-            return False
-        if (warmth := self._warmth(now, backend.entry)) >= 1.0:
+    def _retry(self, now_ns: int, active: ActiveRequest, result: AttemptResult) -> bool:
+        """Return whether the request is in flight, after a further attempt if one is allowed."""
+        if any(attempt.result is None for attempt in active.attempts):
             return True
-        share = SLOW_START_CAUTION * warmth * (self._rate or self._assumed_rate) * backend.entry.weight
-        backend.tokens = min(SLOW_START_BURST, backend.tokens + share * (now - backend.refilled))
-        backend.refilled = now
-        return backend.tokens >= 1.0 and self._random.random() < self._visits
-
-    def _warmth(self, now: int, server: api.Endpoint) -> float:
-        """The part of its work that a server does at least, by the time since its start."""
-        if not server.started_at_ns:
-            return 1.0
-        age = max(0, now - server.started_at_ns) / max(1, self._settings.slow_start_duration_ns)
-        return self._settings.slow_start_initial_ratio + (1.0 - self._settings.slow_start_initial_ratio) * age
-
-    # Connections.
-
-    def _standing(self, now: int, backend: Backend) -> int:
-        """The idle time of the connection that an attempt would get; 0 if it would need a new one."""
-        idle = now - backend.idle[-1] + 1 if backend.idle else 0
-        trusted = self._settings.idle_timeout_ns
-        if self._distrusted and self._connect_failures <= self._lost_idle:  # else a new one is no better
-            doublings = min(32.0, (now - self._distrusted) / TRUST_DOUBLES)
-            trusted = min(trusted, int(self._trusted_idle * 2**doublings))
-        return idle if idle <= trusted else 0
-
-    def _connect(self, now: int, backend: Backend) -> int:
-        """Connections that are not to be trusted are closed before an attempt: what is sent on one might
-        be lost, and may not be sent again. Needless, it costs a handshake."""
-        if idle := self._standing(now, backend):
-            backend.idle.pop()
-        elif backend.idle:
-            backend.idle.clear()
-            self._actions.append(api.CloseIdleConnections(backend.entry.id))
-        return idle
-
-    def _note_connection(self, now: int, attempt: Attempt) -> bool:
-        """True if the attempt was lost to a connection that had been dropped unseen. That guards against
-        any network that forgets idle connections, by reset or silence; it is no fault of the server."""
-        if attempt.result is AttemptResult.NOT_SENT:
-            return False  # no connection was tried, or this machine failed: it tells nothing
-        lost = attempt.result in (AttemptResult.RESET, AttemptResult.TIMEOUT)
-        if attempt.result in (
-            AttemptResult.OK,
-            AttemptResult.ERROR,
-            AttemptResult.REJECTED,
-            AttemptResult.CLIENT_ERROR,
-        ):
-            attempt.backend.idle.append(now)
-        if not attempt.idle:
-            failed = attempt.result is AttemptResult.CONNECT_FAILED
-            self._connect_failures += LOST_WEIGHT * (failed - self._connect_failures)
-        if attempt.idle <= IDLE_SURE:
-            self._lost_others += LOST_WEIGHT * (lost - self._lost_others)
+        if not self._retries.may_retry(now_ns, active, result):
             return False
-        weight = SILENT_WEIGHT if attempt.result is AttemptResult.TIMEOUT else LOST_WEIGHT
-        self._lost_idle += weight * (lost - self._lost_idle)
-        if not lost or self._lost_idle < max(LOST_ABOVE, LOST_TIMES_NEW * self._lost_others):
+        status = self._selector.select(now_ns, active)
+        if status is None:
             return False
-        self._trusted_idle, self._distrusted = max(IDLE_SURE, attempt.idle // 2), now
+        self._retries.on_retry(result)
+        self._send(now_ns, active, status)
         return True
 
-    # The health of servers.
-
-    def _note_report(self, backend: Backend, report: tuple[float, ...]) -> None:
-        values = dict(zip(self._settings.load_report_fields, report, strict=False))
-        if "utilization" in values:
-            self._note_busy(backend, min(1.0, max(0.0, values["utilization"])))
-
-    def _note_busy(self, backend: Backend, busy: float) -> None:
-        kind = self._kinds[backend.entry.hardware_type]
-        self._set_busy(backend, busy)
-        kind.reports += "utilization" in self._settings.load_report_fields
-        kind.busy += max(KIND_WEIGHT, 1 / max(1, kind.reports)) * (busy - kind.busy)
-
-    def _set_busy(self, backend: Backend, busy: float) -> None:
-        if backend.ready:
-            self._busy += int(busy * WEIGHT_UNITS) - int(backend.busy * WEIGHT_UNITS)
-        backend.busy = busy
-
-    def _fade_fullness(self) -> None:
-        for backend in list(self._filled):
-            for index in backend.fullness if backend.ready else ():
-                backend.fullness[index] *= FULL_FADES
-            if max(backend.fullness.values()) < FULL_TRACE or backend.entry.state is EndpointState.REMOVED:
-                backend.fullness.clear()
-                del self._filled[backend]
-
-    def _detect_outlier(self, now: int, backend: Backend, result: AttemptResult, class_index: int) -> None:
-        if result is AttemptResult.TIMEOUT and not backend.ejected_until:
-            self._note_busy(backend, 1.0)  # the busiest don't answer
-        # A full server answers fast and has nothing of ours: by load in flight it would look best.
-        if result in (AttemptResult.OK, AttemptResult.REJECTED):
-            full = backend.fullness.get(class_index, 0.0)
-            if full or result is AttemptResult.REJECTED:
-                backend.fullness[class_index] = full + FULL_WEIGHT * (
-                    (result is AttemptResult.REJECTED) - full
-                )
-                self._filled[backend] = None
-        trial, backend.trial = backend.trial, False
-        if result in (
-            AttemptResult.CANCELLED,
-            AttemptResult.NOT_SENT,
-            AttemptResult.REJECTED,
-            AttemptResult.CLIENT_ERROR,
-        ):
+    def _send(self, now_ns: int, active: ActiveRequest, status: EndpointStatus) -> None:
+        idle_ns = self._connections.take_connection(now_ns, status)
+        timeout_ns = max(MIN_TIMEOUT_NS, active.useful_until_ns - now_ns)
+        write_deadline_ns = active.write_deadline_ns()
+        self._actions.emit(api.Forward(active.request.id, status.endpoint.id, timeout_ns, write_deadline_ns))
+        active.attempts.append(Attempt(status, now_ns, idle_ns))
+        self._outliers.on_attempt_sent(status)
+        self._slow_start.on_attempt_sent(now_ns, status)
+        self._admission.on_attempt_sent(now_ns, active.request.class_index, status)
+
+    def _is_conclusive(
+        self, now_ns: int, active: ActiveRequest, attempt: Attempt, outcome: api.AttemptOutcome
+    ) -> bool:
+        """Return whether the outcome shows the state of the endpoint, and record what else it shows."""
+        is_lost_on_idle = self._connections.on_attempt_ended(now_ns, attempt)
+        if outcome.result is AttemptResult.OK:
+            self._load_reports.on_success(attempt.status)
+            self._slow_start.on_success(now_ns, attempt.status)
+        self._load_reports.on_report(attempt.status, outcome.load_report)
+        is_early = self._admission.is_early_timeout(active, outcome.result, outcome.elapsed_ns)
+        return not is_lost_on_idle and not is_early
+
+    def _record_result(
+        self, now_ns: int, status: EndpointStatus, result: AttemptResult, class_index: int
+    ) -> None:
+        if result is AttemptResult.TIMEOUT and not status.ejected_until_ns:
+            self._load_reports.on_timeout(status)
+        self._rejection_rates.record(status, class_index, result)
+        self._outliers.on_attempt_ended(now_ns, status, result)
+
+    def _abandon_unsent(self, active: ActiveRequest, now_ns: int) -> None:
+        """Give a request that has not been sent its final answer."""
+        if not active.attempts and not active.is_closed:
+            self._final_answers.finish(active)
+        self._forget_if_complete(now_ns, active)
+
+    def _forget_if_complete(self, now_ns: int, active: ActiveRequest) -> None:
+        if not active.is_complete():
             return
-        if result is AttemptResult.OK:
-            backend.answered = now
-        elif result is AttemptResult.CONNECT_FAILED and now - backend.answered < ANSWERED_LATELY:
-            return  # it serves on standing connections: slow to connect to, not down
-        failed = float(result is not AttemptResult.OK)
-        # A node that sees a server seldom can't wait for a second failure, nor can it for a second success.
-        seldom = backend.silence(now) >= ANSWERED_LATELY and result is not AttemptResult.CONNECT_FAILED
-        weight = EJECT_ABOVE if seldom else FAIL_WEIGHT
-        if result in (AttemptResult.TIMEOUT, AttemptResult.RESET) and now - backend.answered < ANSWERS:
-            weight = SLOW_WEIGHT
-        backend.failures += weight * (failed - backend.failures)
-        self._fleet_failures += FLEET_WEIGHT * (failed - self._fleet_failures)
-        self._count_ejected(backend)
-        if trial:
-            if failed:
-                backend.doublings = min(DOUBLINGS, backend.doublings + 1)
-                self._eject(now, backend)
-            else:
-                self._reinstate(backend)
-        elif failed and not backend.ejected_until and self._may_eject(backend, result):
-            self._eject(now, backend)
-
-    def _may_eject(self, backend: Backend, result: AttemptResult) -> bool:
-        part = UNREACHABLE_PART if result is AttemptResult.CONNECT_FAILED else EJECT_PART
-        outlier = backend.failures >= EJECT_TIMES_FLEET * self._fleet_failures
-        if backend.failures < EJECT_ABOVE or not (outlier or result is AttemptResult.CONNECT_FAILED):
-            return False
-        most = part * len(self._ready)
-        if 1 + len(self._ejected) > most:
-            mildest = self._mildest_ejected()
-            if mildest is not None and mildest.failures < backend.failures - EJECT_WORSE:
-                self._reinstate(mildest)  # time-outs in a busy moment must not keep in one that fails all
-        return 1 + len(self._ejected) <= most
-
-    def _mildest_ejected(self) -> Backend | None:
-        """The lowest id, where several failed as little."""
-        heap = self._by_failures
-        while heap:
-            backend = self._backends.get(heap[0][1])
-            if backend in self._ejected and backend is not None and backend.failures == heap[0][0]:
-                return backend
-            heappop(heap)
-        return None
-
-    def _count_ejected(self, backend: Backend) -> None:
-        """Whenever one is ejected or its failures change."""
-        if backend.ejected_until and backend.ready:
-            self._ejected[backend] = None
-            heappush(self._by_failures, (backend.failures, backend.entry.id))
-            if len(self._by_failures) > STALE * (STALE + len(self._ejected)):
-                self._by_failures = sorted((one.failures, one.entry.id) for one in self._ejected)
-
-    def _reinstate(self, backend: Backend) -> None:
-        backend.forgive()
-        self._ejected.pop(backend, None)
-
-    def _eject(self, now: int, backend: Backend) -> None:
-        seldom = min(backend.silence(now), 4 * EJECT_TIME)  # a shorter time would pass without a visit
-        backend.ejected_until = now + self._jittered(max(seldom, EJECT_TIME << backend.doublings), 0.5)
-        self._count_ejected(backend)
-
-    # The list of servers.
-
-    def _follow(self, now: int, update: api.EndpointUpdate) -> None:
-        if update.kind is EndpointUpdateKind.FAILED:
-            self._watching = False
-            self._ask_again(now)
-            return
-        if update.kind is not EndpointUpdateKind.CACHED:
-            self._watching, self._failed_calls, self._asked = True, 0, None
-        listed = {server.id: server for server in update.endpoints}
-        if update.kind is not EndpointUpdateKind.DELTA:
-            for backend in self._backends.values():
-                if backend.entry.id not in listed:
-                    backend.entry = backend.entry._replace(state=EndpointState.REMOVED)
-                    self._changed[backend.entry.id] = None
-        for server in listed.values():
-            self._enter(now, server)
-        self._place_changed()
-        self._find_surge(now)
-        if not self._ready and not self._watching and self._settings.discovery_mode is DiscoveryMode.POLL:
-            self._ask_after(now, ASK_FIRST_PAUSE)  # restarted with nothing to serve from: sooner than others
-
-    def _ask_again(self, now: int) -> None:
-        """After a failed call or a broken watch. What was missed while it hung, the pause and the next call
-        fit together into the time in which a change counts as told, and a second pause too, as a watch may
-        end at once instead of telling: pauses grow no further than that."""
-        missed = SILENT_TIME if self._asked is None else now - self._asked
-        most = max(ASK_LEAST_PAUSE, (TOLD_WITHIN - CALL_TIME - missed) // 2)
-        pause = ASK_FIRST_PAUSE << min(self._failed_calls, DOUBLINGS)
-        self._failed_calls += 1
-        self._ask_after(now, min(pause, most, self._settings.poll_interval_ns))
-
-    def _ask_after(self, now: int, pause: int) -> None:
-        self._actions.append(api.SetTimer(now + self._jittered(pause, 0.5), api.TimerId.POLL))
-
-    def _enter(self, now: int, server: api.Endpoint) -> None:
-        if not 0.0 < server.weight < inf:  # no figure: as any other
-            server = server._replace(weight=1.0)
-        elif not MIN_WEIGHT <= server.weight <= MAX_WEIGHT:  # past any size of machine
-            server = server._replace(weight=min(max(server.weight, MIN_WEIGHT), MAX_WEIGHT))
-        backend = self._backends.get(server.id)
-        if backend is None:
-            self._backends[server.id] = Backend(server, self._first_token(now, server), now, listed=now)
-        elif server == backend.entry:
-            return
-        else:
-            if server.started_at_ns != backend.entry.started_at_ns:
-                self._reinstate(backend)
-                backend.tokens, backend.refilled, backend.listed = self._first_token(now, server), now, now
-            backend.entry = server
-        self._changed[server.id] = None
-
-    def _first_token(self, now: int, server: api.Endpoint) -> float:
-        """A random part, so that the nodes' first requests spread, and what a visit brings: a node that sees
-        a server seldom would else earn its first request long after its first visit. Few nodes may each send
-        one at once: a fleet of one server that restarts is not left without any."""
-        brought = SLOW_START_CAUTION * min(1.0, self._warmth(now, server)) * self._visits
-        return max(self._random.random() + brought, min(1.0, COLD_SLACK / self._settings.node_count))
-
-    def _find_surge(self, now: int) -> None:
-        """What all nodes have saved up for a cold server must not come at once when others are lost and each
-        gets several times the visits: then only a part of them may, so that they stay at the usual number,
-        or above it by what the fall multiple leaves beyond what is earned meanwhile."""
-        present = self._warm_weight(now) + sum(self._capacity(now, one) for one in self._cold)
-        present -= sum(self._capacity(now, one) for one in self._ejected)
-        usual = self._warm_time / self._time if self._time else present
-        left = max(0.0, self._settings.overload_multiple / SLOW_START_CAUTION - 1.0)
-        self._visits = min(1.0, left * max(0.0, present) / usual) if usual else 1.0
-
-    def _capacity(self, now: int, backend: Backend) -> float:
-        return min(1.0, self._warmth(now, backend.entry)) * backend.entry.weight
-
-    def _place_changed(self) -> None:
-        """Costs what changed, up to a shift within the list of those that are ready."""
-        changed = [self._backends[name] for name in self._changed]
-        self._changed.clear()
-        came = []
-        for backend in changed:
-            ready = backend.entry.state is EndpointState.READY
-            if backend.ready:
-                self._uncount(backend)
-                if not ready:
-                    del self._ready[bisect_left(self._ready, backend.entry.id, key=_id)]
-            elif ready:
-                came.append(backend)
-            backend.ready = ready
-            if ready:
-                self._busy += int(backend.busy * WEIGHT_UNITS)
-                self._cold[backend] = None
-                self._count_ejected(backend)
-            elif backend.entry.state is EndpointState.REMOVED:
-                # Attempts hold their server themselves: gone ones would fill this over months.
-                del self._backends[backend.entry.id]
-        if len(came) * MANY > len(self._ready):
-            self._ready = sorted(self._ready + came, key=_id)
-        else:
-            for backend in came:
-                insort(self._ready, backend, key=_id)
-        self._candidates.update(
-            {one.entry.id: (one.entry.zone, one.entry.weight, one) if one.ready else None for one in changed}
-        )
-        self._set_caps()
-
-    def _uncount(self, backend: Backend) -> None:
-        self._busy -= int(backend.busy * WEIGHT_UNITS)
-        self._warm_units -= backend.warm_units
-        backend.warm_units = 0
-        for group in (self._cold, self._ejected):
-            group.pop(backend, None)
-
-
-def _id(backend: Backend) -> api.EndpointId:
-    return backend.entry.id
+        if self._active_requests.pop(active.request.id, None) is not None:
+            self._key_ordering.on_request_complete(now_ns, active)
--- a/scale/candidates.py
+++ b/scale/candidates.py
@@ -258,7 +258,7 @@
     gc.collect()
     gc.freeze()
     for key in range(6 * size):
-        node._hitters.record(mix64(key))
+        node._hot_keys.record(mix64(key))
     for repetition in range(3 if smoke else 9):
         state = (api.EndpointState.DRAINING, api.EndpointState.READY)[repetition % 2]
         changed = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (endpoint(17, state),))
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -114,8 +114,8 @@
 def test_a_request_in_a_full_fleet_does_not_check_every_endpoint() -> None:
     """The search for an endpoint with free capacity is bounded."""
     node = fleet(1500)
-    for backend in node.balancer._backends.values():
-        backend.fullness[0] = 1.0
+    for backend in node.balancer._endpoints.by_id.values():
+        backend.rejection_rates[0] = 1.0
     assert operations(lambda: node.ask(0, 7)) < 25_000
 
 
@@ -184,8 +184,8 @@
     node.tell(
         whole(*(server(n)._replace(weight=weights[n % len(weights)], hardware_type=n % 2) for n in range(24)))
     )
-    for kind in node.balancer._kinds.values():
-        kind.share = 0.1
+    for kind in node.balancer._hardware_types.by_type.values():
+        kind.hash_ratio = 0.1
     for repetition in range(3):
         for key in range(1, 200):
             send = node.ask(0, key + 1000 * repetition)[-1]
@@ -200,7 +200,7 @@
     node = Node(settings(), servers=0)
     node.tell(whole(server(1), server(2), server(2, EndpointState.DRAINING), server(3), server(3)))
     assert {node.serve(key) for key in range(1, 100)} == {server(1).id, server(3).id}
-    assert len(node.balancer._ready) == 2
+    assert len(node.balancer._endpoints.ready) == 2
 
 
 def test_an_emptied_list_is_restored_with_the_same_choices() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 from moleport.node import discovery_watch as discovery
 from moleport.node.name_hashing import hash_name
 from moleport.node.reconnect_backoff import MAX_DOUBLINGS, MAX_DRAIN_GRACE_FRACTION, MIN_DELAY_SECONDS
-from moleport.policy import balancer as balance
+from moleport.policy import discovery_polling
 from moleport.policy import interface as api
 from moleport.policy.interface import EndpointState, EndpointUpdateKind
 
@@ -332,9 +332,18 @@
 
 def test_the_times_that_the_module_counts_with_are_those_of_the_watch() -> None:
     """It bounds its pauses by what a call and a silent watch take at most."""
-    assert max(discovery.SHARED_RESPONSE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) * 1e9 <= balance.CALL_TIME
-    assert discovery.LINE_TIMEOUT_S * 1e9 <= balance.SILENT_TIME
-    assert balance.SILENT_TIME + balance.ASK_LEAST_PAUSE + balance.CALL_TIME <= balance.TOLD_WITHIN < 6e9
+    assert (
+        max(discovery.SHARED_RESPONSE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) * 1e9
+        <= discovery_polling.CALL_TIMEOUT_NS
+    )
+    assert discovery.LINE_TIMEOUT_S * 1e9 <= discovery_polling.WATCH_SILENCE_NS
+    assert (
+        discovery_polling.WATCH_SILENCE_NS
+        + discovery_polling.MIN_BACKOFF_NS
+        + discovery_polling.CALL_TIMEOUT_NS
+        <= discovery_polling.NOTIFICATION_LIMIT_NS
+        < 6e9
+    )
 
 
 def test_a_discovery_that_fails_is_asked_with_growing_pauses_that_differ_from_node_to_node() -> None:
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -536,7 +536,7 @@
                 assert status(await client.ask(request())) == 400
                 assert await client.ended() == b""
             assert len(one.seen) + len(other.seen) == 5
-            assert not any(backend.failures for backend in rig.spy._balancer._backends.values())
+            assert not any(backend.failure_rate for backend in rig.spy._balancer._endpoints.by_id.values())
 
     run(test())
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -8,7 +8,6 @@
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 MAX_FILE_LINES = 400
 MAX_LINE_LENGTH = 110
-STILL_TO_SPLIT = {"policy/balancer.py"}
 
 
 def test_no_file_of_the_package_is_long() -> None:
@@ -17,7 +16,7 @@
         for path in PACKAGE.rglob("*.py")
         if len(path.read_text().splitlines()) > MAX_FILE_LINES
     }
-    assert long == STILL_TO_SPLIT
+    assert not long
 
 
 def test_no_line_of_the_package_is_long() -> None:
