--- a/moleport/node/json_stream.py
+++ b/moleport/node/json_stream.py
@@ -31,20 +31,22 @@
         self._buffer += data
         objects = []
         begin = 0
-        for match in NEXT_BRACE.finditer(self._buffer, self._scanned_bytes):
-            self._scanned_bytes = match.end()
-            if match[1] == b"{":
-                self._depth += 1
-            elif match[1] == b"}":
-                self._depth -= 1
-                if self._depth <= 0:
-                    self._depth = 0
-                    objects.append(self._buffer[begin : self._scanned_bytes])
-                    begin = self._scanned_bytes
+        scanned, depth = self._scanned_bytes, self._depth
+        for match in NEXT_BRACE.finditer(self._buffer, scanned):
+            scanned = match.end()
+            brace = match[1]
+            if brace == b"{":
+                depth += 1
+            elif brace == b"}":
+                depth -= 1
+                if depth <= 0:
+                    depth = 0
+                    objects.append(self._buffer[begin:scanned])
+                    begin = scanned
             else:
                 break
         self._buffer = self._buffer[begin:]
-        self._scanned_bytes -= begin
+        self._scanned_bytes, self._depth = scanned - begin, depth
         if self.is_between_objects():
             if text := self._buffer.strip():
                 objects.append(text)
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -1,4 +1,4 @@
-"""What a list of servers costs the node: bytes, processor time, stops of its loop, and memory."""
+"""Measures what an endpoint list costs the node: bytes, processor time, stalls of its loop, and memory."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 SIZES = (60, 200, 1000, 3600, 7200)
 SMOKE_SIZES = (60, 200)
 RUNS, SMOKE_RUNS = 7, 2
-PIECE = 64 << 10  # bytes that come at once
-STOP_BOUND = 50.0  # ms
-CHANGE_BOUND = 1.0  # ms, without the module
-PATIENCE = 30.0  # s
+READ_BYTES = 64 << 10  # of one read
+MAX_STALL_MS = 50.0
+MAX_DELTA_MS = 1.0  # without the policy
+TIMEOUT_SECONDS = 30.0
 
 SETTINGS: dict[str, Any] = {
     "Contract": {"AskWithin": 10**10, "Cold": 10**9, "ColdShare": 0.5, "StopSendingWithin": 5 * 10**8},
@@ -70,6 +70,7 @@
 
 
 def entry(number: int) -> dict[str, Any]:
+    """Return the entry of one server as discovery writes it."""
     return {
         "id": f"s-{number * 2654435761 % (1 << 32):08x}",
         "addr": f"10.{number >> 14}.{number >> 7 & 127}.{number & 127}:3000",
@@ -83,16 +84,18 @@
 
 
 def text(version: int, full: bool, numbers: range | list[int]) -> bytes:
-    """A list of these servers as discovery writes it."""
+    """Return an update with these servers as discovery writes it."""
     entries = [entry(number) for number in numbers]
     return json.dumps({"version": version, "full": full, "servers": entries}).encode() + b"\n"
 
 
-def hosts(size: int) -> tuple[DiscoveredEndpoint, ...]:
+def endpoints(size: int) -> tuple[DiscoveredEndpoint, ...]:
+    """Return the parsed entries of a list."""
     return parse_update(json.loads(text(1, True, range(size)))).endpoints
 
 
 def configuration(discovery: str) -> Config:
+    """Return the configuration of a node that knows no server."""
     document = {
         "listen": "127.0.0.1:0",
         "discovery": discovery,
@@ -108,16 +111,16 @@
 
 
 class Agent:
-    """Stands for the agent on the node's machine, on a thread of its own: its work is not the node's."""
+    """A discovery agent that writes on a thread of its own, whose processor time is not counted."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         self._watch: socket.socket | None = None
 
-    def take_watch(self) -> None:
-        """Blocks until the node has asked."""
-        self._listener.settimeout(PATIENCE)
+    def accept_watch(self) -> None:
+        """Wait until the node has opened its watch; blocks."""
+        self._listener.settimeout(TIMEOUT_SECONDS)
         self._watch, _ = self._listener.accept()
         self._watch.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         while b"\r\n\r\n" not in self._watch.recv(4096):
@@ -125,18 +128,20 @@
         self._watch.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     def push(self, data: bytes) -> None:
+        """Send an update; does not block."""
         assert self._watch is not None
         writing = Thread(target=self._watch.sendall, args=(b"%x\r\n%s\r\n" % (len(data), data),))
         writing.start()
 
     def close(self) -> None:
+        """Close the watch and the listening socket."""
         if self._watch is not None:
             self._watch.close()
         self._listener.close()
 
 
-class _NoModule:
-    """In the module's place, to measure the node's side alone."""
+class _NullPolicy:
+    """A policy that does nothing, to measure the node without the policy."""
 
     def start(self, now: int) -> list[api.Action]:
         return []
@@ -145,43 +150,46 @@
         return []
 
 
-class Turns:
-    """Notes the processor time of each turn of the loop; the loop never rests meanwhile."""
+class IterationTimer:
+    """Measures the processor time of each loop iteration; the loop does not sleep meanwhile."""
 
     def __init__(self) -> None:
         self._longest = 0.0  # s of this thread
         self._loop = asyncio.get_running_loop()
         self._running = True
         self._last = thread_time()
-        self._loop.call_soon(self._turn)
+        self._loop.call_soon(self._on_iteration)
 
-    def _turn(self) -> None:
+    def _on_iteration(self) -> None:
         now = thread_time()
         self._longest = max(self._longest, now - self._last)
         self._last = now
         if self._running:
-            self._loop.call_soon(self._turn)
+            self._loop.call_soon(self._on_iteration)
 
     def stop(self) -> float:
-        """The longest turn so far, in ms."""
-        self._turn()
+        """Stop, and return the longest iteration in ms."""
+        self._on_iteration()
         self._running = False
         return self._longest * 1e3
 
 
-async def stops(size: int, module: bool) -> dict[str, float]:
-    """The longest stop of a real node's loop over a loopback watch, in ms of its thread: while a whole list
-    of new servers comes, the same with a tenth of them replaced, and a change of one; and the ms by the clock
-    from the first byte of each until all of it was told. Without the module only the node's side works."""
+async def stalls(size: int, module: bool) -> dict[str, float]:
+    """Return the longest stall of a node's loop for each kind of update, and the time until it is applied.
+
+    The updates are a snapshot of new servers, one with a tenth of them replaced, and a delta of one server,
+    received over loopback. Stalls are in ms of processor time of the node's thread, the others in ms by the
+    clock from the first byte. Without `module` the policy does nothing.
+    """
     agent = Agent()
     node, _ = build_node(configuration(agent.address))
     if not module:
-        node._balancer = _NoModule()  # type: ignore[assignment]
-    # What a running node has set aside, the collector does not look at again.
+        node._balancer = _NullPolicy()  # type: ignore[assignment]
+    # As in a running node, where the collector does not traverse what was made at the start.
     gc.collect()
     gc.freeze()
     node.start()
-    await asyncio.get_running_loop().run_in_executor(None, agent.take_watch)
+    await asyncio.get_running_loop().run_in_executor(None, agent.accept_watch)
     tenth = max(1, size // 10)
     found = {}
     for version, name, numbers in (
@@ -190,14 +198,14 @@
         (4, "one", [size + tenth]),
     ):
         data = text(version, version < 4, numbers)
-        turns = Turns()
+        iterations = IterationTimer()
         begun = perf_counter()
         agent.push(data)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while node.endpoint_list.discovery._version < version or node.endpoint_list._pending:
                 await asyncio.sleep(0)
         found[f"{name} told"] = (perf_counter() - begun) * 1e3
-        found[name] = turns.stop()
+        found[name] = iterations.stop()
         assert hash_name(entry(numbers[-1])["id"]) in node._ready_endpoint_ids
         assert len(node._ready_endpoint_ids) == size + (version == 4)
     node.endpoint_list.discovery.close()
@@ -207,14 +215,14 @@
 
 
 async def read_time(size: int) -> float:
-    """ms of processor time from a whole list's bytes to its entries."""
+    """Return the processor time from a snapshot's bytes to its entries, in ms."""
     data = text(2, True, range(size))
     seen: list[DiscoveryUpdate] = []
     owner = DiscoveryClient(("127.0.0.1", 1), 0, seen.append, lambda: None)
     owner._watch = watch = WatchConnection(owner)
     begun = thread_time()
-    for begin in range(0, len(data), PIECE):
-        watch.on_body(data[begin : begin + PIECE])
+    for begin in range(0, len(data), READ_BYTES):
+        watch.on_body(data[begin : begin + READ_BYTES])
     owner.finish_parsing()
     took = thread_time() - begun
     owner.close()
@@ -223,11 +231,11 @@
 
 
 async def change_time(size: int, module: bool) -> float:
-    """ms of processor time for a change of one server of a list, from its bytes on; the median of twenty."""
+    """Return the processor time of a delta of one server, from its bytes on, in ms; the median of twenty."""
     node, _ = build_node(configuration("127.0.0.1:1"))
     if not module:
-        node._balancer = _NoModule()  # type: ignore[assignment]
-    node.endpoint_list.on_update(DiscoveryUpdate(1, True, hosts(size)))
+        node._balancer = _NullPolicy()  # type: ignore[assignment]
+    node.endpoint_list.on_update(DiscoveryUpdate(1, True, endpoints(size)))
     while len(node._ready_endpoint_ids) < size:
         await asyncio.sleep(0)
     discovery = node.endpoint_list.discovery
@@ -244,8 +252,8 @@
 
 
 @contextmanager
-def held(into: dict[str, float], name: str, size: int) -> Iterator[None]:
-    """Notes the bytes for each server that what is made inside goes on holding."""
+def allocated_bytes(into: dict[str, float], name: str, size: int) -> Iterator[None]:
+    """Record the bytes for each server that stay allocated by what is made inside."""
     gc.collect()
     before, _ = tracemalloc.get_traced_memory()
     yield
@@ -254,25 +262,25 @@
 
 
 async def memory(size: int) -> dict[str, float]:
-    """Bytes for each server that a node holds: on its own side all told, and by part; and in the module."""
+    """Return the bytes for each server of a node without its policy, of its parts, and of the policy."""
     found: dict[str, float] = {}
     tracemalloc.start()
     try:
         node, _ = build_node(configuration("127.0.0.1:1"))
-        node._balancer = _NoModule()  # type: ignore[assignment]
-        with held(found, "the node's side", size):
-            node.endpoint_list.on_update(DiscoveryUpdate(1, True, hosts(size)))
+        node._balancer = _NullPolicy()  # type: ignore[assignment]
+        with allocated_bytes(found, "the node's side", size):
+            node.endpoint_list.on_update(DiscoveryUpdate(1, True, endpoints(size)))
             while len(node._ready_endpoint_ids) < size:
                 await asyncio.sleep(0)
         pools = ConnectionPools(100, 10**9, 10**9)
         balancer = Balancer(node._config.policy_settings, 1)
-        with held(found, "entries", size):
-            entries = hosts(size)
+        with allocated_bytes(found, "entries", size):
+            entries = endpoints(size)
         servers = tuple(node.endpoint_list._to_policy_endpoint(host) for host in entries)
-        with held(found, "pools", size):
+        with allocated_bytes(found, "pools", size):
             for host, server in zip(entries, servers, strict=True):
                 pools.add_endpoint(server.id, host.address, server.started_at_ns)
-        with held(found, "module", size):
+        with allocated_bytes(found, "module", size):
             balancer.handle(1, api.EndpointUpdate(api.EndpointUpdateKind.SNAPSHOT, servers))
     finally:
         tracemalloc.stop()
@@ -285,68 +293,83 @@
 
 
 def measure(smoke: bool) -> list[dict[str, Any]]:
-    """Rows of name, size (servers), value, unit, bound (or None) and why. A value is the median of several
-    runs, but for bytes, which are alike each time. The bounds are meant for the largest list, and hold for
-    all. Times are the processor's, of the node's thread, unless the row says otherwise."""
+    """Return rows of name, size (servers), value, unit, bound (or None) and why.
+
+    A value is the median of several runs, except bytes, which are the same in each. The bounds are meant for
+    the largest list, and hold for all. Times are processor times of the node's thread, unless the row says
+    otherwise.
+    """
     runs = SMOKE_RUNS if smoke else RUNS
     return [row for size in (SMOKE_SIZES if smoke else SIZES) for row in _rows(size, runs)]
 
 
 def _rows(size: int, runs: int) -> Iterator[dict[str, Any]]:
-    def row(name: str, value: float, unit: str, bound: float | None, why: str) -> dict[str, Any]:
-        return {
-            "name": name,
-            "size": size,
-            "value": round(value, 4),
-            "unit": unit,
-            "bound": bound,
-            "why": why,
-        }
-
-    def middle(measured: Callable[..., Coroutine[Any, Any, float]], *given: Any) -> float:
-        found: list[float] = [_run(measured, *given) for _ in range(runs)]
-        return median(found)
-
-    whole = len(text(2, True, range(size)))
-    yield row("list: whole", whole, "bytes", None, "what discovery has to carry to a node")
-    yield row(
+    snapshot_bytes = len(text(2, True, range(size)))
+    yield _row("list: whole", size, snapshot_bytes, "bytes", None, "what discovery has to carry to a node")
+    yield _row(
         "list: reading a whole one",
-        middle(read_time, size),
+        size,
+        _median_of_runs(runs, read_time, size),
         "ms",
         None,
         "from bytes to entries, all slices together",
     )
     for side, module in (("node", False), ("node and module", True)):
-        found = [_run(stops, size, module) for _ in range(runs)]
-        for key, what in (
-            ("whole", "a whole one"),
-            ("replaced", "a tenth replaced"),
-            ("one", "a change of one"),
-        ):
-            yield row(
-                f"list: longest stop, {what}, {side}",
-                median(one[key] for one in found),
-                "ms",
-                STOP_BOUND,
-                "a request that comes meanwhile waits so long",
-            )
-        yield row(
-            f"list: until a whole one is told, {side}",
-            median(one["whole told"] for one in found),
-            "ms",
-            None,
-            "by the clock, from its first byte to its last slice",
+        yield from _update_rows(size, runs, side, module)
+    for part, value in _run(memory, size).items():
+        yield _row(
+            f"list: memory, {part}", size, value, "bytes a server", None, "held for as long as it is listed"
         )
-        cost = middle(change_time, size, module)
-        yield row(
-            f"list: a change of one, {side}",
-            cost,
+
+
+def _update_rows(size: int, runs: int, side: str, module: bool) -> Iterator[dict[str, Any]]:
+    """Yield the rows of updates, with or without the policy."""
+    found = [_run(stalls, size, module) for _ in range(runs)]
+    for key, what in (
+        ("whole", "a whole one"),
+        ("replaced", "a tenth replaced"),
+        ("one", "a change of one"),
+    ):
+        yield _row(
+            f"list: longest stop, {what}, {side}",
+            size,
+            median(one[key] for one in found),
             "ms",
-            None if module else CHANGE_BOUND,
-            "must not grow with the list",
+            MAX_STALL_MS,
+            "a request that comes meanwhile waits so long",
         )
-    for part, value in _run(memory, size).items():
-        yield row(f"list: memory, {part}", value, "bytes a server", None, "held for as long as it is listed")
+    yield _row(
+        f"list: until a whole one is told, {side}",
+        size,
+        median(one["whole told"] for one in found),
+        "ms",
+        None,
+        "by the clock, from its first byte to its last slice",
+    )
+    yield _row(
+        f"list: a change of one, {side}",
+        size,
+        _median_of_runs(runs, change_time, size, module),
+        "ms",
+        None if module else MAX_DELTA_MS,
+        "must not grow with the list",
+    )
+
+
+def _median_of_runs(runs: int, measured: Callable[..., Coroutine[Any, Any, float]], *given: Any) -> float:
+    found: list[float] = [_run(measured, *given) for _ in range(runs)]
+    return median(found)
+
+
+def _row(name: str, size: int, value: float, unit: str, bound: float | None, why: str) -> dict[str, Any]:
+    return {
+        "name": name,
+        "size": size,
+        "value": round(value, 4),
+        "unit": unit,
+        "bound": bound,
+        "why": why,
+    }
 
 
 if __name__ == "__main__":
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch: what its lines become, and how its end is told."""
+"""The discovery watch: its updates, its failures and its reconnects."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 from moleport.policy.interface import EndpointState, EndpointUpdateKind
 
 
-def test_first_line_changes_and_whole_lists_are_told_in_order() -> None:
+def test_deltas_and_snapshots_reach_the_policy_in_order() -> None:
+    """The watch resumes after the last version; start times are those of the monotonic clock."""
+
     async def test() -> None:
         async with (
             Discovery() as source,
@@ -27,7 +29,7 @@
             Server("s-3") as older,
             Rig(configuration(one, discovery=source.address)) as rig,
         ):
-            assert [len(told.endpoints) for told in rig.spy.lists(EndpointUpdateKind.CACHED)] == [1]
+            assert [len(update.endpoints) for update in rig.spy.lists(EndpointUpdateKind.CACHED)] == [1]
             rig.watch()
             await until(lambda: source.targets)
             assert source.targets == ["GET /discovery/hosts?watch=1&from=7 HTTP/1.1"]
@@ -39,7 +41,7 @@
             server, other = rig.spy.lists(EndpointUpdateKind.DELTA)[0].endpoints
             assert (server.id, server.state) == (hash_name("s-2"), EndpointState.READY)
             age = asyncio.get_running_loop().time() * 1e9 - server.started_at_ns
-            assert 0 <= age < 1e9  # the newest start of the first list is now, whatever the wall clock says
+            assert 0 <= age < 1e9  # the newest start of the initial list is now, whatever the wall clock is
             assert server.started_at_ns - other.started_at_ns == 5 * 10**9
             assert rig.node._ready_endpoint_ids == {hash_name("s-1"), hash_name("s-2"), hash_name("s-3")}
             source.push(12, two, full=True)
@@ -54,7 +56,9 @@
     run(test())
 
 
-def test_a_line_that_comes_in_pieces_is_one_line() -> None:
+def test_an_update_received_in_pieces_is_one_update() -> None:
+    """Reads may end anywhere within an update."""
+
     async def test() -> None:
         async with Discovery() as source, Rig(configuration(discovery=source.address)) as rig:
             rig.watch()
@@ -67,14 +71,15 @@
     run(test())
 
 
-def text(version: int, *servers: Server, indent: int | None = None) -> bytes:
+def snapshot_text(version: int, *servers: Server, indent: int | None = None) -> bytes:
+    """Return a snapshot of servers as discovery writes it."""
     entries = [server.entry() for server in servers]
     return json.dumps({"version": version, "full": True, "servers": entries}, indent=indent).encode()
 
 
 @pytest.mark.parametrize("size", [1, 7, 4096])
-def test_objects_may_come_indented_and_cut_anywhere_and_several_at_once(size: int) -> None:
-    """Each line was taken for a whole object: an indented list ended its watch, and each one after it."""
+def test_updates_may_be_indented_and_cut_anywhere(size: int) -> None:
+    """An update ends with its last brace, not with its line; one read may hold several."""
 
     async def test() -> None:
         async with (
@@ -85,11 +90,16 @@
         ):
             rig.watch()
             await until(lambda: source.targets)
-            data = b"\n%s\n\n%s%s\n" % (text(8, one, indent=2), text(9, two), text(10, one, two, indent=1))
+            data = b"\n%s\n\n%s%s\n" % (
+                snapshot_text(8, one, indent=2),
+                snapshot_text(9, two),
+                snapshot_text(10, one, two, indent=1),
+            )
             for begin in range(0, len(data), size):
                 source.push_bytes(data[begin : begin + size])
             await until(lambda: len(rig.spy.lists(EndpointUpdateKind.SNAPSHOT)) == 3)
-            assert [len(told.endpoints) for told in rig.spy.lists(EndpointUpdateKind.SNAPSHOT)] == [1, 1, 2]
+            snapshots = rig.spy.lists(EndpointUpdateKind.SNAPSHOT)
+            assert [len(update.endpoints) for update in snapshots] == [1, 1, 2]
             assert rig.node._ready_endpoint_ids == {hash_name('s-"{'), hash_name("s-\\")}
             assert not rig.spy.lists(EndpointUpdateKind.FAILED) and len(source.targets) == 1
 
@@ -97,9 +107,10 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "headers", "cut", "bytes"])
-def test_a_watch_that_brings_no_whole_line_is_opened_anew(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Any byte counted as news: half an object with empty lines behind it would have been waited for for
-    ever, and an agent that took the watch and said nothing for 3 s."""
+def test_a_watch_without_a_complete_line_in_time_is_replaced(
+    how: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Neither silence nor bytes that complete no line keep a watch open."""
     for name in ("AGENT_RESPONSE_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S", "LINE_TIMEOUT_S"):
         monkeypatch.setattr(discovery, name, 0.3)
     monkeypatch.setattr(
@@ -130,7 +141,8 @@
     run(test())
 
 
-def test_a_watch_that_brings_lines_in_time_stands(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watch_with_lines_in_time_stays_open(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Empty lines are enough."""
     monkeypatch.setattr(discovery, "LINE_TIMEOUT_S", 1.5)
 
     async def test() -> None:
@@ -163,7 +175,9 @@
         b'{"version":9,"servers":[{"id":"s-3","addr":"10.0.0.1:80","state":"Ready","cell":Infinity}]}\n',
     ],
 )
-def test_a_bad_line_is_one_failure_and_the_old_list_stays(line: bytes) -> None:
+def test_an_invalid_update_is_one_failure_and_keeps_the_known_list(line: bytes) -> None:
+    """The watch ends and is reported once, whatever follows on it."""
+
     async def test() -> None:
         async with (
             Discovery() as source,
@@ -182,8 +196,8 @@
     run(test())
 
 
-def test_an_older_whole_list_is_asked_for_anew_before_it_is_believed() -> None:
-    """It brought a drained server back; an agent that counts anew tells the same when asked again."""
+def test_an_older_snapshot_is_applied_only_from_a_new_watch() -> None:
+    """It would revert a drain; a discovery that has restarted its count sends it again on the next watch."""
 
     async def test() -> None:
         async with (
@@ -208,20 +222,22 @@
 
 
 @pytest.mark.parametrize("moves", [False, True])
-def test_a_reload_while_a_watch_is_opened_or_a_pause_runs_watches_the_new_address_once(moves: bool) -> None:
+def test_a_reload_during_connect_or_backoff_opens_one_watch_at_the_new_address(moves: bool) -> None:
+    """The backoff timer must not open a second watch."""
+
     async def test() -> None:
         async with Discovery() as old, Discovery() as new, Server("s-1") as server:
-            old.reply = b""  # it stays silent
+            old.reply = b""  # no response
             document = configuration(discovery=old.address if moves else "127.0.0.1:1")
             document["settings"]["MembershipMode"] = "pushed"
             async with Rig(document) as rig:
-                # Both are under way: the dial of the first watch, or the pause after it was refused.
+                # Either the first watch is being opened, or the backoff after its failure runs.
                 await until(lambda: old.targets if moves else rig.node.endpoint_list._backoff.failure_count)
                 rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
                 await until(lambda: new.targets)
                 new.push(2, server, full=True)
                 await until(rig.node.has_endpoints)
-                for _ in range(10):  # longer than any pause
+                for _ in range(10):  # longer than any backoff
                     await asyncio.sleep(0.03)
                     new.push_bytes(b"\n")
                 assert (len(old.targets), len(new.targets)) == (int(moves), 1)
@@ -230,8 +246,8 @@
 
 
 @pytest.mark.parametrize("weight", ["Infinity", "NaN", "-3", "0", "1e999"])
-def test_a_weight_that_is_none_is_as_any_other(weight: str) -> None:
-    """One without end hung the node: no other server could take a place in the table."""
+def test_an_invalid_weight_counts_as_the_default(weight: str) -> None:
+    """An infinite weight would leave no entry of the hash table to other servers."""
 
     async def test() -> None:
         async with (
@@ -256,24 +272,23 @@
     run(test())
 
 
-def test_a_watch_that_fell_silent_is_replaced_before_its_news_count_as_told() -> None:
-    """A dead watch was kept for 7 s. After 6 s a drain counts as told, heard or not, and what is sent to that
-    server half a second later breaks a rule. The one opened in its place may be dead too."""
-    counts_as_told, after_sighup, grace = 6.0, 4.0, 0.5
+def test_a_silent_watch_is_replaced_before_missed_updates_count_as_delivered() -> None:
+    """The watch opened in place of a silent one may be silent too."""
+    counts_as_delivered, after_sighup, grace = 6.0, 4.0, 0.5
     pause = MAX_DRAIN_GRACE_FRACTION * grace
     assert pause <= MIN_DELAY_SECONDS * 2**MAX_DOUBLINGS
-    assert min(discovery.LINE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) > 2.0  # an empty line comes as often
+    # An empty line is sent every 2 s.
+    assert min(discovery.LINE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) > 2.0
     again = MIN_DELAY_SECONDS + discovery.FIRST_LINE_TIMEOUT_S + 2 * MIN_DELAY_SECONDS
-    assert discovery.LINE_TIMEOUT_S + again < counts_as_told
+    assert discovery.LINE_TIMEOUT_S + again < counts_as_delivered
     assert discovery.FIRST_LINE_TIMEOUT_S + pause + discovery.AGENT_RESPONSE_TIMEOUT_S < after_sighup
-    assert pause < grace  # an agent that comes back tells at once what it has
+    assert pause < grace  # an agent that is back sends its updates at once
 
 
-def test_a_call_that_waits_its_turn_is_not_given_up_where_lists_are_asked_for(
+def test_a_polled_discovery_has_longer_to_respond(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time in which an agent on the own machine answers was held against a discovery that all nodes
-    share: calls in its queue were given up after half a second, asked anew, and the lists came too late."""
+    """Calls are queued at a discovery that all nodes share, unlike at an agent on the same machine."""
     monkeypatch.setattr(discovery, "AGENT_RESPONSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -293,8 +308,8 @@
 FAILURES = ("refused", "503", "silent", "headers", "bad")  # of a call to discovery
 
 
-async def seconds_until_told(mode: str, failure: str) -> float:
-    """From the moment in which a discovery that failed in one way has a change and can be reached."""
+async def seconds_until_applied(mode: str, failure: str) -> float:
+    """Return the time from when a failed discovery is reachable and has an update to its application."""
     async with Discovery() as source, Server("s-1") as one, Server("s-2") as two:
         whole = source.reply
         document = configuration(one, two, discovery=source.address)
@@ -306,7 +321,7 @@
             source.reply = {"503": busy, "silent": b"", "bad": b"?\r\n"}[failure]
         async with Rig(document) as rig:
             await until(lambda: source.targets or failure == "refused")
-            await asyncio.sleep(2.2)  # the pauses have grown, and a further call hangs
+            await asyncio.sleep(2.2)  # the backoff has grown, and a further call gets no response
             two.state = "Terminating"
             change = json.dumps({"version": 9, "full": False, "servers": [two.entry()]}).encode()
             source.reply = whole + b"%x\r\n%s\r\n" % (len(change), change)
@@ -317,21 +332,20 @@
             return asyncio.get_running_loop().time() - begun
 
 
-def test_a_change_is_acted_on_within_6_s_whatever_failed_before() -> None:
-    """Where lists are asked for the pause after failed calls reached the time within which to ask, here 10 s,
-    and the first call came up to 5 s after the start."""
+def test_an_update_is_applied_within_6_s_after_any_failure() -> None:
+    """The backoff after failures must leave time for a further call that gets no response."""
 
     async def test() -> None:
         cases = [(mode, failure) for mode in ("pushed", "on_request") for failure in FAILURES]
         async with asyncio.timeout(PATIENCE):
-            waits = await asyncio.gather(*(seconds_until_told(*case) for case in cases))
+            waits = await asyncio.gather(*(seconds_until_applied(*case) for case in cases))
         assert {case: wait for case, wait in zip(cases, waits, strict=True) if wait >= 6.0} == {}
 
     run(test())
 
 
-def test_the_times_that_the_module_counts_with_are_those_of_the_watch() -> None:
-    """It bounds its pauses by what a call and a silent watch take at most."""
+def test_the_policy_assumes_the_timeouts_of_the_watch() -> None:
+    """The policy bounds its polling delays by the longest call and the longest silence."""
     assert (
         max(discovery.SHARED_RESPONSE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) * 1e9
         <= discovery_polling.CALL_TIMEOUT_NS
@@ -346,8 +360,8 @@
     )
 
 
-def test_a_discovery_that_fails_is_asked_with_growing_pauses_that_differ_from_node_to_node() -> None:
-    """Forty nodes lose their watches in one moment, and each asked again exactly a second later."""
+def test_reconnect_delays_grow_and_differ_between_nodes() -> None:
+    """Nodes that lose their watches in the same moment do not reconnect together."""
 
     async def pauses(seed: str) -> list[float]:
         document = configuration() | {"seed": seed}
@@ -359,9 +373,7 @@
             await until(lambda: source.targets)
             source.push(9, full=True)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
-            assert (
-                rig.node.endpoint_list._backoff.next_delay_seconds() <= MIN_DELAY_SECONDS
-            )  # it answers again
+            assert rig.node.endpoint_list._backoff.next_delay_seconds() <= MIN_DELAY_SECONDS
             return found
 
     async def test() -> None:
@@ -374,7 +386,8 @@
 
 
 @pytest.mark.parametrize("how", ["503", "end", "garbage", "refused", "silence"])
-def test_a_watch_that_ends_is_told_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_end_of_a_watch_is_reported_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each watch has its own report, whatever ends it."""
     if how == "silence":
         monkeypatch.setattr(discovery, "FIRST_LINE_TIMEOUT_S", 0.05)
 
@@ -394,13 +407,15 @@
                 source.drop()
                 await asyncio.sleep(0.02)
                 assert len(rig.spy.lists(EndpointUpdateKind.FAILED)) == 1
-                rig.watch()  # when to ask again is the module's affair; each watch has its own end
+                rig.watch()  # the policy decides when; each watch has its own report
                 await until(lambda: len(rig.spy.lists(EndpointUpdateKind.FAILED)) == 2)
 
     run(test())
 
 
-def test_a_moved_watch_is_a_failure_only_if_the_new_one_fails() -> None:
+def test_a_moved_watch_is_reported_only_if_the_new_one_fails() -> None:
+    """The old watch is closed on purpose."""
+
     async def test() -> None:
         async with (
             Discovery() as old,
@@ -412,9 +427,9 @@
             await until(lambda: old.targets)
             rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
             await until(lambda: new.targets)
-            rig.watch()  # one watch is enough
+            rig.watch()  # opens no second one
             old.drop()
-            new.push(2, server, full=True)  # its versions are its own
+            new.push(2, server, full=True)  # its versions are counted apart
             await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
             assert not rig.spy.lists(EndpointUpdateKind.FAILED)
             rig.node.reload(replace(rig.config, discovery_address=parse_address("127.0.0.1:1")))
@@ -425,11 +440,13 @@
     run(test())
 
 
-def test_the_module_itself_asks_for_the_watch() -> None:
+def test_the_policy_requests_the_watch_by_its_timer() -> None:
+    """In poll mode the node opens no watch by itself."""
+
     async def test() -> None:
         async with (
             Discovery() as source,
-            Rig(configuration(discovery=source.address)) as rig,  # no server known: it asks soon
+            Rig(configuration(discovery=source.address)) as rig,  # no server known: the policy polls soon
         ):
             await until(lambda: source.targets)
             assert any(isinstance(event, api.TimerFired) for event in rig.spy.events)
@@ -437,7 +454,8 @@
     run(test())
 
 
-def test_pushed_lists_are_watched_without_being_asked(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_in_push_mode_the_node_keeps_a_watch_open(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The policy is not notified of its end."""
     monkeypatch.setattr("moleport.node.reconnect_backoff.MIN_DELAY_SECONDS", 0.01)
 
     async def test() -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The oracle of the fault soak tells each broken rule, and a short soak of real processes breaks none."""
+"""The oracle of the fault soak, and a short soak of real processes."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 
 def record(asked: Asked, *attempts: Attempt) -> Record:
+    """Return the record of one request and its attempts."""
     seen = Record(asked={asked.identity: asked})
     seen.attempts[asked.identity] += attempts
     seen.made[b"made"] = asked.identity
@@ -19,6 +20,7 @@
 
 
 def asked(**changes: object) -> Asked:
+    """Return a request that was answered in time, with changes."""
     one = Asked("id", "n0", True, 10.0, 1.0, status=200, body=b"made", answered=10.2)
     for name, value in changes.items():
         setattr(one, name, value)
@@ -26,6 +28,7 @@
 
 
 def attempt(at: float = 10.05, told: float = 0.9, ran: bool = True, ended: float | None = 10.1) -> Attempt:
+    """Return an attempt for the request; times in seconds."""
     return Attempt("s-1", at, told, ran, ended)
 
 
@@ -49,24 +52,28 @@
         (asked(), [attempt(told=1.11)], {"deadline"}),
     ],
 )
-def test_each_rule_that_is_broken_is_told(what: Asked, attempts: list[Attempt], rules: set[str]) -> None:
+def test_the_oracle_reports_each_broken_rule(what: Asked, attempts: list[Attempt], rules: set[str]) -> None:
+    """And no other."""
     assert {violation.rule for violation in record(what, *attempts).violations()} == rules
 
 
-def test_a_send_after_the_grace_of_a_drain_is_told() -> None:
+def test_the_oracle_reports_an_attempt_after_the_drain_grace() -> None:
+    """Within the grace there is no violation."""
     for told, rules in ((9.6, set()), (9.4, {"drain"})):
         seen = record(asked(), attempt())
         seen.gone.append(("n0", "s-1", told, 12.0))
         assert {violation.rule for violation in seen.violations()} == rules
 
 
-def test_a_node_that_was_killed_owes_nothing_for_what_it_held() -> None:
+def test_requests_in_flight_at_a_killed_node_are_no_violations() -> None:
+    """Nobody could answer them."""
     seen = record(asked(status=None), attempt())
     seen.killed["n0"].append(10.5)
     assert not list(seen.violations())
 
 
 def test_a_short_soak_of_real_processes_breaks_no_rule() -> None:
+    """Three nodes, eight seconds, one seed."""
     command = [sys.executable, "-m", "soak", "--seeds", "7", "7", "--nodes", "3", "--span", "8"]
     run = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=80, check=False)
     assert run.returncode == 0, run.stdout + run.stderr
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""Starts of servers on the node's monotonic clock, whatever the wall clocks say."""
+"""Start times of servers on the monotonic clock, whatever the wall clocks show."""
 
 from __future__ import annotations
 
@@ -8,57 +8,72 @@
 
 MS = 1_000_000
 NOW = 500 * 1000 * MS  # monotonic ns
-FIGURE = 1_700_000_000_000  # ms
+REPORTED_MS = 1_700_000_000_000  # ms
 
 
-def host(identity: str, started_ms: int, state: EndpointState = EndpointState.READY) -> DiscoveredEndpoint:
+def endpoint(
+    identity: str, started_ms: int, state: EndpointState = EndpointState.READY
+) -> DiscoveredEndpoint:
+    """Return an endpoint list entry with a start in Unix ms."""
     return DiscoveredEndpoint(identity, ("127.0.0.1", 1), "room", "box", 0, state, 1.0, started_ms)
 
 
 def recorded(times: ServerStartTimes, now: int, *hosts: DiscoveredEndpoint) -> list[int]:
+    """Record an update, and return the starts of its endpoints in monotonic ns."""
     times.record(hosts, now)
     return [times.started_at_ns(one) for one in hosts]
 
 
-def test_the_newest_start_of_the_first_list_is_now_and_the_others_are_as_much_older() -> None:
-    hosts = [host("a", FIGURE), host("b", FIGURE - 3000), host("c", 0)]
+def test_the_newest_start_of_the_initial_list_is_now_and_the_others_are_as_much_older() -> None:
+    """A start of 0 stays 0: long ago."""
+    hosts = [endpoint("a", REPORTED_MS), endpoint("b", REPORTED_MS - 3000), endpoint("c", 0)]
     assert recorded(ServerStartTimes(), NOW, *hosts) == [NOW, NOW - 3000 * MS, 0]
 
 
-def test_what_the_configuration_named_keeps_its_start_as_the_agents_list_comes() -> None:
+def test_configured_endpoints_keep_their_starts_in_the_first_update() -> None:
+    """The first update belongs to the initial list."""
     times = ServerStartTimes()
-    recorded(times, NOW, host("a", FIGURE))
-    assert recorded(times, NOW + 5, host("d", FIGURE - 4000)) == [NOW + 5 - 4000 * MS]  # beside what is known
-    hosts = [host("a", FIGURE), host("b", FIGURE + 2000), host("c", FIGURE - 1000)]
+    recorded(times, NOW, endpoint("a", REPORTED_MS))
+    assert recorded(times, NOW + 5, endpoint("d", REPORTED_MS - 4000)) == [NOW + 5 - 4000 * MS]
+    hosts = [endpoint("a", REPORTED_MS), endpoint("b", REPORTED_MS + 2000), endpoint("c", REPORTED_MS - 1000)]
     assert recorded(times, NOW + 7, *hosts) == [NOW, NOW + 7, NOW + 7 - 3000 * MS]
 
 
-def test_a_start_that_is_told_later_is_now_whatever_its_figure() -> None:
+def test_a_later_start_is_now_whatever_its_unix_time() -> None:
+    """The server's wall clock may have been stepped."""
     times = ServerStartTimes()
-    recorded(times, NOW, host("a", FIGURE), host("b", FIGURE))
+    recorded(times, NOW, endpoint("a", REPORTED_MS), endpoint("b", REPORTED_MS))
     times.end_initial_list()
-    for turn, figure in enumerate((FIGURE + 5, FIGURE - 3_600_000, FIGURE + 3_600_000), 1):
-        assert recorded(times, NOW + turn, host("a", figure)) == [NOW + turn]
-        assert recorded(times, NOW + turn + 1, host("a", figure)) == [NOW + turn]  # told again, it stays
-    assert recorded(times, NOW + 9, host("b", FIGURE), host("new", FIGURE - 9000)) == [NOW, NOW + 9]
-
-
-def test_a_server_that_left_the_list_returns_with_its_start() -> None:
+    for delay_ns, reported_ms in enumerate(
+        (REPORTED_MS + 5, REPORTED_MS - 3_600_000, REPORTED_MS + 3_600_000), 1
+    ):
+        assert recorded(times, NOW + delay_ns, endpoint("a", reported_ms)) == [NOW + delay_ns]
+        # Unchanged when reported again.
+        assert recorded(times, NOW + delay_ns + 1, endpoint("a", reported_ms)) == [NOW + delay_ns]
+    assert recorded(times, NOW + 9, endpoint("b", REPORTED_MS), endpoint("new", REPORTED_MS - 9000)) == [
+        NOW,
+        NOW + 9,
+    ]
+
+
+def test_a_removed_server_that_returns_has_its_former_start() -> None:
+    """It has not been restarted."""
     times = ServerStartTimes()
-    recorded(times, NOW, host("a", FIGURE))
+    recorded(times, NOW, endpoint("a", REPORTED_MS))
     times.end_initial_list()
-    recorded(times, NOW + 1, host("a", FIGURE + 9, EndpointState.REMOVED))  # its figure may be none
+    recorded(times, NOW + 1, endpoint("a", REPORTED_MS + 9, EndpointState.REMOVED))  # its start is not used
     times.forget_removed([])
-    assert recorded(times, NOW + 2, host("a", FIGURE)) == [NOW]
+    assert recorded(times, NOW + 2, endpoint("a", REPORTED_MS)) == [NOW]
 
 
-def test_starts_of_servers_that_left_are_not_kept_for_ever_and_listed_ones_are() -> None:
+def test_starts_of_removed_servers_are_forgotten_and_listed_ones_are_not() -> None:
+    """Memory stays bounded as servers come and go."""
     times = ServerStartTimes()
     listed = [f"listed-{number}" for number in range(10)]
-    recorded(times, NOW, *(host(name, FIGURE) for name in listed))
+    recorded(times, NOW, *(endpoint(name, REPORTED_MS) for name in listed))
     times.end_initial_list()
     for number in range(5000):
-        recorded(times, NOW + number, host(f"left-{number}", FIGURE + number))
+        recorded(times, NOW + number, endpoint(f"left-{number}", REPORTED_MS + number))
         times.forget_removed(listed)
     assert len(times._starts) <= MAX_REMOVED_SERVERS + 2 * len(listed)
-    assert [times.started_at_ns(host(name, FIGURE)) for name in listed] == [NOW] * 10
+    assert [times.started_at_ns(endpoint(name, REPORTED_MS)) for name in listed] == [NOW] * 10
