--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -57,8 +57,6 @@
         self.on_client_disconnected = self.requests.on_client_disconnected
         self.on_client_half_closed = self.requests.on_client_half_closed
         self.retry_after_headers = self.requests.default_retry_after_headers
-        self.fail_all_requests = self.requests.fail_all
-        self.wait_until_endpoints_known = self.endpoint_list.wait_until_synced
 
     def start(self) -> None:
         """Start the policy, and load the endpoints that the configuration names."""
@@ -80,6 +78,14 @@
         self._config = with_new_address
         self.endpoint_list.discovery.move(config.discovery_address)
 
+    async def wait_until_endpoints_known(self) -> None:
+        """Wait until discovery has sent its endpoints, has failed, or a timeout has passed."""
+        await self.endpoint_list.wait_until_synced()
+
+    def fail_all_requests(self) -> None:
+        """Answer all active requests and reject further ones: the process is about to end."""
+        self.requests.fail_all()
+
     def has_endpoints(self) -> bool:
         """Whether there is an endpoint that requests can be forwarded to."""
         return bool(self._ready_endpoint_ids)
--- a/moleport/node/policy_timers.py
+++ b/moleport/node/policy_timers.py
@@ -9,7 +9,6 @@
 from moleport.policy import interface as api
 
 NS_PER_MS = 1_000_000
-MS_PER_SECOND = 1000
 RETRY_AFTER_FAILURE_NS = 1_000 * NS_PER_MS
 
 
@@ -25,7 +24,7 @@
         """Let a timer fire at a monotonic time, in ns."""
         # Rounded up: the loop counts in ms, and may call back early by a part of one.
         delay_ms = max(0, at_ns - monotonic_ns()) // NS_PER_MS + 1
-        self._loop.call_later(delay_ms / MS_PER_SECOND, self._on_loop_timer, at_ns, timer_id)
+        self._loop.call_later(delay_ms / 1000, self._on_loop_timer, at_ns, timer_id)
 
     def set_after_failure(self, timer_id: int) -> None:
         """Set a timer again whose event the policy failed on.
--- /dev/null
+++ b/tests/test_json_stream.py
@@ -0,0 +1,43 @@
+"""The stream of a watch is split into JSON objects."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+from rig import run
+
+from moleport.node import discovery_watch as discovery
+
+NAMES = st.text(alphabet='{}[]"\\ab\n,:é', max_size=8)
+OBJECTS = st.dictionaries(NAMES, NAMES | st.lists(st.dictionaries(NAMES, NAMES), max_size=2))
+
+
+@settings(deadline=None)
+@given(st.lists(OBJECTS, max_size=4), st.integers(1, 40), st.sampled_from([None, 1]))
+def test_objects_are_found_however_the_stream_is_cut(found: list[Any], size: int, indent: int | None) -> None:
+    """Names hold braces, quotes and backslashes."""
+
+    class Owner:
+        response_timeout_s = 60.0
+        seen: list[Any]
+
+        def on_object(self, _: discovery.WatchConnection, data: bytes) -> None:
+            self.seen.append(json.loads(data))
+
+        def is_current(self, _: discovery.WatchConnection) -> bool:
+            return False
+
+    async def test() -> None:
+        owner = Owner()
+        owner.seen = []
+        watch = discovery.WatchConnection(owner)  # type: ignore[arg-type]
+        data = b"\n".join(json.dumps(one, indent=indent, ensure_ascii=False).encode() for one in found)
+        for begin in range(0, len(data), size):
+            watch.on_body(data[begin : begin + size])
+        watch.close()
+        assert owner.seen == found
+
+    run(test())
