--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -22,7 +22,7 @@
 BACKOFF_BASE_S = 0.0025  # doubled for each local fault in connecting
 MAX_BACKOFF_DOUBLINGS = 4
 MAX_BACKOFF_S = 0.04
-MAX_ATTEMPTS_WITHOUT_ROUTE_COUNT = 8
+MAX_UNROUTED_ATTEMPTS = 8
 PERMISSION_POLL_INTERVAL_S = 0.002
 MAX_TIMER_DELAY_NS = 5 * NS_PER_MS  # a longer one means that the process was held up
 SOCKET_READ_DELAY_S = 0.001  # in which the event loop reads its sockets once
@@ -234,7 +234,7 @@
             return
         self._owner.record_attempt_event(self, Event.DIAL_FAILED_LOCALLY)
         self._local_fault_count += 1
-        if fault is Fault.PATH and self._local_fault_count > MAX_ATTEMPTS_WITHOUT_ROUTE_COUNT:
+        if fault is Fault.PATH and self._local_fault_count > MAX_UNROUTED_ATTEMPTS:
             self.end(AttemptResult.NOT_SENT)
             return
         if fault is Fault.DESCRIPTORS:
--- a/moleport/node/response_parser.py
+++ b/moleport/node/response_parser.py
@@ -114,10 +114,11 @@
     # Callbacks of the HTTP parser. It wraps exceptions that they raise in an HttpParserCallbackError.
 
     def on_message_begin(self) -> None:
-        """Prepare for an interim or final response."""
+        """Forget an interim response ahead of this one, and reject a second final one."""
         if self.is_complete:
             raise InvalidResponseError("more than one response to one request")
-        self._start_message()
+        if self._interim_count:
+            self._start_message()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep an end-to-end header, and interpret those that frame the body or are meant for this node."""
