--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -42,43 +42,35 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._settings = settings
-        self._random = Random(seed)
-        self._actions = ActionBuffer()
+        self._random = random = Random(seed)
+        self._actions = actions = ActionBuffer()
+        self._endpoints = endpoints = EndpointSet(settings.zone)
         self._deferred = DeferredTasks()
         self._active_requests: dict[int, ActiveRequest] = {}
-        self._endpoints = EndpointSet(settings.zone)
         self._hot_keys = HotKeyTracker()
-        self._hardware_types = HardwareTypes()
-        self._load_reports = LoadReports(settings, self._hardware_types)
+        self._hardware_types = hardware_types = HardwareTypes()
+        self._load_reports = load_reports = LoadReports(settings, hardware_types)
         self._rejection_rates = RejectionRates()
-        self._connections = ConnectionHealth(settings.idle_timeout_ns, self._actions)
-        self._outliers = OutlierDetector(self._endpoints, self._random)
-        self._slow_start = SlowStart(settings, self._random, self._endpoints, self._outliers)
-        self._registry = EndpointRegistry(
-            self._endpoints, self._outliers, self._slow_start, self._load_reports
-        )
-        self._poller = DiscoveryPoller(settings, self._random, self._actions)
+        self._connections = connections = ConnectionHealth(settings.idle_timeout_ns, actions)
+        self._outliers = outliers = OutlierDetector(endpoints, random)
+        self._slow_start = slow_start = SlowStart(settings, random, endpoints, outliers)
+        self._registry = EndpointRegistry(endpoints, outliers, slow_start, load_reports)
+        self._poller = DiscoveryPoller(settings, random, actions)
         self._admission = AdmissionControl(
-            settings, self._endpoints, self._connections, self._load_reports, self._slow_start, self._deferred
+            settings, endpoints, connections, load_reports, slow_start, self._deferred
         )
         self._selector = EndpointSelector(
-            self._random,
-            self._endpoints,
-            self._hot_keys,
-            self._hardware_types,
-            self._connections,
-            self._outliers,
-            self._slow_start,
+            random, endpoints, self._hot_keys, hardware_types, connections, outliers, slow_start
         )
         self._retries = RetryPolicy(settings.max_attempts, self._admission)
-        self._final_answers = FinalAnswers(settings, self._actions)
+        self._final_answers = FinalAnswers(settings, actions)
         self._key_ordering = KeyOrdering(
             settings.key_cooldown_ns,
             self._active_requests,
             self._admission,
             self._final_answers,
             self._deferred,
-            self._actions,
+            actions,
             self._send_first,
             self._abandon_unsent,
         )
