--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("hangs", [0, 300 * MS, 2 * SECOND, 2500 * MS])
-def test_a_failed_call_the_pause_and_the_next_call_fit_into_the_6_s_of_a_change(hangs: int) -> None:
+def test_failed_call_backoff_and_next_call_fit_into_the_notification_limit(hangs: int) -> None:
     """Pauses doubled up to the time within which to ask. A change that came as the last call had just been
     taken counts as told 6 s later, and the next call may take 2.5 s of them."""
     pauses = set()
@@ -74,7 +74,7 @@
     assert min(pauses) >= 100 * MS and len(pauses) > 10  # none at once, and not alike on all nodes
 
 
-def test_a_broken_watch_is_asked_for_again_within_the_6_s_of_its_silence() -> None:
+def test_broken_watch_is_reopened_within_the_notification_limit() -> None:
     for seed in range(50):
         node = asking(seed)
         next_call(node)
@@ -85,7 +85,7 @@
         assert next_call(node) - broken + 2500 * MS <= 6 * SECOND
 
 
-def test_the_first_call_after_a_start_leaves_time_for_its_answer() -> None:
+def test_first_poll_leaves_time_for_its_answer() -> None:
     """A node that starts asked within half of the time that a running one has: 30 s of a minute."""
     firsts = set()
     for seed in range(50):
@@ -97,7 +97,7 @@
 # The breaker.
 
 
-def test_a_fresh_node_admits_its_start_cap_and_refuses_the_next_at_once() -> None:
+def test_new_node_admits_its_initial_cap_and_rejects_the_next_request() -> None:
     node = Node(one_class(), servers=6)
     assert admitted(node) == 76  # the cap of 60 and two roots of it, while the mean is below
     (refusal,) = node.ask(0, 1)
@@ -105,7 +105,7 @@
     assert 0 < refusal.retry_after_ns <= 2 * SECOND
 
 
-def test_who_is_refused_is_told_to_come_back_when_that_may_still_be_worth_something() -> None:
+def test_retry_after_is_the_objective_only_where_late_answers_have_value() -> None:
     """Refused clients came back after their aim, when no answer was worth anything any more: during a release
     each request was tried 2.3 times, and the retries took what room there was."""
     for retry_after in (True, False):
@@ -121,21 +121,21 @@
     assert admitted(node) < 20
 
 
-def test_a_quiet_window_does_not_lower_the_cap() -> None:
+def test_quiet_window_does_not_lower_the_cap() -> None:
     node = Node(one_class(), servers=6)
     for _ in range(10):
         window(node, 1, 300 * MS)
     assert admitted(node) == 76
 
 
-def test_windows_within_the_target_at_the_cap_lift_it() -> None:
+def test_windows_within_the_target_raise_the_cap() -> None:
     node = Node(one_class(), servers=6)
     for _ in range(6):
         window(node, 400, 100 * MS)
     assert admitted(node) > 60
 
 
-def test_all_servers_slow_leaves_half_of_what_was_proven() -> None:
+def test_cap_keeps_half_of_the_proven_in_flight_when_all_endpoints_turn_slow() -> None:
     node = Node(one_class(), servers=6)
     for _ in range(3):
         window(node, 60, 100 * MS)
@@ -144,7 +144,7 @@
     assert admitted(node) >= 5
 
 
-def test_a_time_out_counts_as_longer_than_it_waited() -> None:
+def test_timeout_is_sampled_as_longer_than_it_lasted() -> None:
     node = Node(one_class(), servers=6)
     sends = [node.ask(0, key)[0] for key in range(30)]
     node.wait(300 * MS)
@@ -155,7 +155,7 @@
     assert admitted(node) < 30
 
 
-def test_a_class_that_is_worth_more_is_not_crowded_out_by_a_lesser_one_with_more_room() -> None:
+def test_higher_priority_class_is_not_crowded_out_by_a_higher_cap_of_a_lower_one() -> None:
     """The heavier class missed its aim first and was refused first, though it was worth more."""
     light = api.RequestClass(2 * SECOND, 8.0, 0.0, api.Idempotency.IDEMPOTENT)
     heavy = api.RequestClass(SECOND, 10.0, 0.0, api.Idempotency.IDEMPOTENT)
@@ -165,7 +165,7 @@
     assert admitted(node, class_index=0) < 20
 
 
-def test_timed_out_attempts_hold_their_place_for_as_long_again() -> None:
+def test_timed_out_attempts_count_as_in_flight_for_their_duration_again() -> None:
     """Servers went on with work that nobody waited for and were filled up again at once."""
     node = Node(
         settings(classes=(api.RequestClass(SECOND, 1.0, 0.5, api.Idempotency.NOT_IDEMPOTENT),)), servers=6
@@ -178,20 +178,20 @@
     assert isinstance(node.ask(0, 77)[0], api.Forward)
 
 
-def test_a_class_whose_cap_is_full_keeps_a_floor_that_brings_samples() -> None:
+def test_class_at_its_cap_keeps_a_minimum_in_flight_for_samples() -> None:
     node = Node(settings(classes=(SAFE, UNSAFE)), servers=20)
     while isinstance(node.ask(1, node.next_id)[0], api.Forward):
         pass
     assert isinstance(node.ask(0, 1)[0], api.Forward)
 
 
-def test_a_class_worth_more_is_let_in_after_the_lesser_one_is_refused() -> None:
+def test_higher_priority_class_is_admitted_after_the_lower_one_is_shed() -> None:
     node = Node(settings(classes=(SAFE, UNSAFE), weight_by_work=True), servers=6)
     assert admitted(node, class_index=0) == 62
     assert isinstance(node.ask(1, 1)[0], api.Forward)
 
 
-def test_time_outs_of_silent_servers_do_not_close_the_breaker() -> None:
+def test_timeouts_of_unreachable_endpoints_do_not_lower_the_cap() -> None:
     """In a zone cut old attempts ran out seconds later and were taken for load."""
     node = Node(one_class(), servers=12)
     silent = server(0).id
@@ -214,7 +214,7 @@
     assert admitted(node) >= 55
 
 
-def test_a_few_slow_servers_do_not_close_the_breaker_for_all_the_others() -> None:
+def test_few_slow_endpoints_do_not_lower_the_cap() -> None:
     """Four of thirteen servers turned slow: their part of the samples alone held the cap at five requests in
     flight, and two thirds of all were refused for ten seconds while the others had next to nothing to do."""
     node = Node(one_class(latency_objective_ns=200 * MS), servers=8)
@@ -227,11 +227,11 @@
                 if isinstance(send, api.Forward) and (send.endpoint_id in slow) is among_slow:
                     node.end(send, AttemptResult.OK, elapsed)
         node.wait(300 * MS)
-    assert not any(backend.ejected_until_ns for backend in node.balancer._endpoints.ready)
+    assert not any(status.ejected_until_ns for status in node.balancer._endpoints.ready)
     assert admitted(node) >= 30
 
 
-def test_all_servers_turning_slow_together_still_closes_the_breaker() -> None:
+def test_all_endpoints_turning_slow_lower_the_cap() -> None:
     """A server is slow against what is usual, and what all do becomes that."""
     node = Node(one_class(latency_objective_ns=200 * MS), servers=8)
     for elapsed in [15 * MS] * 4 + [500 * MS] * 12:
@@ -239,14 +239,14 @@
     assert admitted(node) < 30
 
 
-def test_an_answer_in_no_time_is_no_division_by_zero() -> None:
+def test_response_time_of_zero_is_accepted() -> None:
     node = Node()
     node.serve(1, elapsed=0)
     node.wait(SECOND)
     assert node.serve(1, elapsed=0) is not None
 
 
-def test_a_mean_below_the_cap_lets_a_chance_bunch_in_and_one_above_it_does_not() -> None:
+def test_burst_above_the_cap_is_admitted_while_the_mean_is_below_it() -> None:
     """With hundreds of nodes a cap is near one: bunches of two or three were refused by idle servers."""
     node = Node(one_class(node_count=120), servers=12)  # a cap of one
     sends = [node.ask(0, key)[0] for key in range(1, 5)]
@@ -258,7 +258,7 @@
     assert isinstance(node.ask(0, 9)[0], api.Reject)  # two were out on average
 
 
-def test_a_cap_below_one_holds() -> None:
+def test_cap_below_one_is_kept() -> None:
     """One request of each class at each node was always let in: of many nodes, more than what was left
     of the fleet could do, so that overload never ended."""
     node = Node(one_class(node_count=600), servers=12)
@@ -272,7 +272,7 @@
 
 
 @pytest.mark.parametrize(("report", "least", "most"), [(0.3, 30, 400), (1.0, 1, 29)])
-def test_free_cores_by_report_keep_the_cap_unless_the_aim_is_missed(
+def test_idle_fleet_keeps_the_cap_unless_the_objective_is_missed(
     report: float, least: int, most: int
 ) -> None:
     """A class's own long requests passed the target on a quiet day."""
@@ -288,7 +288,7 @@
     assert least <= admitted(node) <= most
 
 
-def test_a_marked_retry_stops_at_half_of_the_cap() -> None:
+def test_client_retries_are_shed_at_half_of_the_cap() -> None:
     node = Node(one_class(), servers=6)
     assert admitted(node, 41) == 41  # half of 60, and two roots of that
     retry = api.Request(9999, SECOND, 0, 0, 7, True)
@@ -296,14 +296,14 @@
     assert isinstance(node.ask(0, 7)[0], api.Forward)
 
 
-def test_a_surging_tenant_stops_short_and_the_others_do_not() -> None:
+def test_tenant_over_quota_is_shed_before_the_others() -> None:
     node = Node(one_class(tenants=(api.Tenant(0.5), api.Tenant(0.5))), servers=6)
     surge = [node.tell(api.Request(5000 + n, SECOND, 0, 0, 100 + n, False))[0] for n in range(60)]
     assert sum(isinstance(action, api.Forward) for action in surge) == 41
     assert isinstance(node.tell(api.Request(6000, SECOND, 0, 1, 3, False))[0], api.Forward)
 
 
-def test_many_full_answers_make_a_key_prefer_its_other_server() -> None:
+def test_rejections_make_a_key_prefer_its_other_endpoint() -> None:
     """With no or one request at a server, own load can't tell a crowded one from an idle one."""
     node = Node()
     quieten(node)
@@ -321,13 +321,13 @@
 # The choice.
 
 
-def test_servers_that_turn_one_class_away_are_left_to_the_others() -> None:
+def test_endpoints_that_reject_one_class_still_get_the_others() -> None:
     """Half of the servers answered one class as full, at once and with no load: all its requests went there,
     and their refusals closed its breaker, and with it those of the lesser classes."""
     node = Node(servers=6)
     closed = {server(number).id for number in range(3)}
-    for backend in node.balancer._endpoints.by_id.values():
-        backend.in_flight += 8 * (backend.endpoint.id not in closed)
+    for status in node.balancer._endpoints.by_id.values():
+        status.in_flight += 8 * (status.endpoint.id not in closed)
     full = Counter[int]()
     for turn in range(40):
         for key in range(1, 7):
@@ -345,19 +345,19 @@
     assert {node.serve(key, class_index=1) for key in range(1, 40)} >= closed  # good for another class
 
 
-def test_a_key_stays_with_its_first_server_while_loads_tie() -> None:
+def test_key_stays_with_its_first_endpoint_while_loads_are_equal() -> None:
     node = Node()
     assert len({node.serve(42) for _ in range(20)}) == 1
 
 
-def test_the_less_loaded_of_two_wins() -> None:
+def test_less_loaded_of_two_endpoints_is_selected() -> None:
     node = Node()
     first, second = node.ask(0, 42)[0], node.ask(0, 42)[0]
     assert isinstance(first, api.Forward) and isinstance(second, api.Forward)
     assert first.endpoint_id != second.endpoint_id
 
 
-def test_nodes_agree_on_a_key_whatever_their_seed() -> None:
+def test_nodes_with_different_seeds_select_the_same_endpoint_for_a_key() -> None:
     assert {Node(seed=seed).serve(7) for seed in range(5)} == {Node(seed=9).serve(7)}
 
 
@@ -368,7 +368,7 @@
     assert max(counts.values()) < 1.5 * 100
 
 
-def test_a_hot_key_goes_to_more_than_two() -> None:
+def test_hot_key_goes_to_more_than_two_endpoints() -> None:
     node = Node(servers=20)
     for _ in range(3):
         for n in range(100):
@@ -377,7 +377,7 @@
     assert len({node.serve(42) for _ in range(100)}) > 5
 
 
-def test_a_hot_key_shows_at_a_small_share_of_the_traffic_too() -> None:
+def test_hot_key_is_detected_by_a_node_with_little_traffic() -> None:
     """With hundreds of nodes each saw a popular key once a second at most, and all sent it to one server."""
     node = Node(servers=60)
     for n in range(90):
@@ -386,7 +386,7 @@
     assert len({node.serve(42) for _ in range(100)}) > 5
 
 
-def test_keys_counted_while_no_server_is_listed_do_no_harm_later() -> None:
+def test_keys_counted_without_endpoints_cause_no_error_later() -> None:
     """A share of no servers was drawn from once some came back."""
     node = Node(servers=0)
     for _ in range(3):
@@ -396,12 +396,12 @@
     assert node.serve(42) is not None
 
 
-def test_requests_without_a_key_draw_their_servers() -> None:
+def test_requests_without_a_key_go_to_random_endpoints() -> None:
     node = Node(servers=6)
     assert len({node.serve(0) for _ in range(60)}) == 6
 
 
-def test_a_change_of_the_list_moves_few_keys() -> None:
+def test_change_of_the_list_moves_few_keys() -> None:
     node = Node(servers=20)
     before = {key: node.serve(key) for key in range(1, 501)}
     node.tell(whole(*(server(number) for number in range(19))))
@@ -414,7 +414,7 @@
 # Servers.
 
 
-def test_a_server_that_fails_fast_loses_its_keys_and_gets_one_back_as_a_trial() -> None:
+def test_failing_endpoint_is_ejected_and_gets_one_trial() -> None:
     node = Node()
     quieten(node)
     home = node.serve(42)
@@ -431,7 +431,7 @@
     assert node.serve(42) == home
 
 
-def test_a_server_seldom_seen_is_ejected_by_one_failure_and_for_longer() -> None:
+def test_rarely_used_endpoint_is_ejected_by_one_failure_and_for_longer() -> None:
     """Of hundreds of nodes each met a failing server once in ten seconds, and never twice in a row."""
     node = Node(servers=12)
     quieten(node)
@@ -444,7 +444,7 @@
     assert node.serve(42) == home
 
 
-def test_a_server_not_heard_from_yet_is_not_taken_for_one_long_silent() -> None:
+def test_new_endpoint_does_not_count_as_silent() -> None:
     """Just after its start a node stood still for a moment: each server that had not answered by then was
     left out for up to eight seconds by a single time-out, and held the place of one that was truly slow."""
     node = Node(servers=12)
@@ -452,19 +452,19 @@
     first = node.ask(0, 42)[0]
     assert isinstance(first, api.Forward)
     node.end(first, AttemptResult.ERROR)
-    backend = node.balancer._endpoints.by_id[first.endpoint_id]
-    assert not backend.ejected_until_ns
-    node.balancer._record_result(node.now, backend, AttemptResult.ERROR, 0)
-    assert backend.ejected_until_ns
-    assert backend.ejected_until_ns - node.now <= 2 * SECOND
+    status = node.balancer._endpoints.by_id[first.endpoint_id]
+    assert not status.ejected_until_ns
+    node.balancer._record_result(node.now, status, AttemptResult.ERROR, 0)
+    assert status.ejected_until_ns
+    assert status.ejected_until_ns - node.now <= 2 * SECOND
 
 
-def test_broken_connections_do_not_eject_a_server_that_answers_others() -> None:
+def test_resets_do_not_eject_an_endpoint_that_answers_others() -> None:
     """A network that broke one connection in twelve kept a quarter of the servers ejected at all times."""
     node = Node(servers=12)
     quieten(node)
     home = node.serve(42)
-    backend = node.balancer._endpoints.by_id[home or b""]
+    status = node.balancer._endpoints.by_id[home or b""]
     for result in (
         AttemptResult.RESET,
         AttemptResult.RESET,
@@ -472,31 +472,31 @@
         AttemptResult.RESET,
         AttemptResult.RESET,
     ):
-        node.balancer._record_result(node.now, backend, result, 0)
-    assert not backend.ejected_until_ns
+        node.balancer._record_result(node.now, status, result, 0)
+    assert not status.ejected_until_ns
     node.now += SECOND  # one that answers nobody may be down
     for _ in range(2):
-        node.balancer._record_result(node.now, backend, AttemptResult.RESET, 0)
-    assert backend.ejected_until_ns
+        node.balancer._record_result(node.now, status, AttemptResult.RESET, 0)
+    assert status.ejected_until_ns
 
 
-def test_a_trial_whose_connection_fails_is_over() -> None:
+def test_trial_ends_when_its_connection_fails() -> None:
     """A trial that told nothing stayed on, and its server out, for good."""
     node = Node()
     quieten(node)
     home = node.serve(42)
-    backend = node.balancer._endpoints.by_id[home or b""]
+    status = node.balancer._endpoints.by_id[home or b""]
     for _ in range(2):
         node.end(node.ask(2, 42)[0], AttemptResult.ERROR)  # type: ignore[arg-type]
     node.wait(3 * SECOND)
     (trial,) = node.ask(2, 42)
-    assert isinstance(trial, api.Forward) and trial.endpoint_id == home and backend.is_on_trial
-    backend.answered_at_ns = node.now  # by another attempt
+    assert isinstance(trial, api.Forward) and trial.endpoint_id == home and status.is_on_trial
+    status.answered_at_ns = node.now  # by another attempt
     node.end(trial, AttemptResult.CONNECT_FAILED)
     assert node.serve(42) == home
 
 
-def test_a_server_that_times_out_on_some_and_answers_others_is_kept() -> None:
+def test_endpoint_that_times_out_on_some_requests_is_not_ejected() -> None:
     """Under load a third of the servers was left out for every other time-out of theirs, and the load of the
     rest grew by half."""
     node = Node(servers=6)
@@ -504,7 +504,7 @@
         window(node, 12, 100 * MS)
     quieten(node)
     home = node.serve(44)  # a key that comes back to it after its first time-outs
-    backend = node.balancer._endpoints.by_id[home or b""]
+    status = node.balancer._endpoints.by_id[home or b""]
     for _ in range(20):
         for result in (AttemptResult.TIMEOUT, AttemptResult.TIMEOUT, AttemptResult.OK):
             (send,) = [one for one in node.ask(0, 44) if isinstance(one, api.Forward)]
@@ -513,15 +513,15 @@
                 node.end(send, result, 400 * MS)
             else:
                 node.end(send, AttemptResult.OK, 100 * MS)
-    assert not backend.ejected_until_ns and backend.failure_rate > 0.2
+    assert not status.ejected_until_ns and status.failure_rate > 0.2
     node.now += SECOND  # silence is another matter
     for _ in range(3):
         node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
-        node.balancer._record_result(node.now, backend, AttemptResult.TIMEOUT, 0)
-    assert backend.ejected_until_ns
+        node.balancer._record_result(node.now, status, AttemptResult.TIMEOUT, 0)
+    assert status.ejected_until_ns
 
 
-def test_a_failed_trial_ejects_for_longer() -> None:
+def test_failed_trial_ejects_for_longer() -> None:
     node = Node()
     quieten(node)
     home = node.serve(42)
@@ -533,7 +533,7 @@
     assert node.serve(42) != home
 
 
-def test_where_all_fail_only_a_part_is_ejected() -> None:
+def test_at_most_a_part_of_the_endpoints_is_ejected() -> None:
     node = Node(servers=9)
     for key in range(1, 300):
         (send,) = node.ask(2, key)
@@ -542,17 +542,17 @@
     assert len({node.serve(key) for key in range(1, 200)}) >= 6
 
 
-def test_a_server_that_fails_all_takes_the_place_of_one_that_was_ejected_for_less() -> None:
+def test_endpoint_that_fails_more_replaces_an_ejected_one() -> None:
     """Servers that timed out a few times in the first busy moment held all places among the ejected. One
     that answered every request with an error stayed in for a second and a half, and got more than any."""
     node = Node(servers=8)
     mild, milder, bad = [
         node.balancer._endpoints.by_id[name] for name in sorted(node.balancer._endpoints.by_id)
     ][:3]
-    for backend in (milder, mild):
-        backend.answered_at_ns = node.now
-        while not backend.ejected_until_ns:
-            node.balancer._record_result(node.now, backend, AttemptResult.TIMEOUT, 0)
+    for status in (milder, mild):
+        status.answered_at_ns = node.now
+        while not status.ejected_until_ns:
+            node.balancer._record_result(node.now, status, AttemptResult.TIMEOUT, 0)
     mild.failure_rate += 0.1
     for _ in range(3):
         node.balancer._record_result(node.now, bad, AttemptResult.ERROR, 0)
@@ -563,7 +563,7 @@
     assert not milder.ejected_until_ns
 
 
-def test_keys_go_to_servers_of_the_own_zone_while_these_have_nothing_to_do() -> None:
+def test_keys_go_to_the_own_zone_while_its_endpoints_are_idle() -> None:
     """With forty nodes nearly every choice is a tie, and two thirds of all attempts crossed zones."""
     node = Node(settings(zone=1), servers=12)
     got = Counter(node.serve(key) for key in range(1, 301))
@@ -573,14 +573,14 @@
     assert len(busy) > 8  # those that have some leave the rest to the other candidate, of any zone
 
 
-def test_what_a_zone_has_left_gets_no_more_than_its_part() -> None:
+def test_small_own_zone_gets_no_more_than_its_ratio() -> None:
     node = Node(settings(zone=1), servers=0)
     node.tell(whole(server(1), *(server(number) for number in range(30) if number % 3 != 1)))
     got = Counter(node.serve(key) for key in range(1, 1001))
     assert got[server(1).id] < 200
 
 
-def test_a_cold_server_gets_no_more_than_its_budget() -> None:
+def test_slow_start_limits_the_requests_to_an_endpoint() -> None:
     node = Node()
     for key in range(1, 300):
         node.serve(key)
@@ -594,7 +594,7 @@
     assert got[cold.id] > 20
 
 
-def test_a_cold_server_gets_its_share_while_refusals_keep_the_warm_ones_half_idle() -> None:
+def test_slow_start_budget_does_not_fall_while_load_is_shed() -> None:
     """While the breaker refused most, warm servers got little, cold ones a part of that, and all crowded
     the few warm ones the more."""
     node = Node()
@@ -611,7 +611,7 @@
     assert Counter(node.serve(key) for key in range(1, 301))[cold.id] == 2
 
 
-def test_where_most_servers_are_cold_the_rest_is_not_one_servers() -> None:
+def test_with_most_endpoints_in_slow_start_the_load_is_spread() -> None:
     node = Node(servers=8)
     cold = [server(number, started=node.now) for number in range(8, 60)]
     node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, tuple(cold)))
@@ -619,7 +619,7 @@
     assert max(got.values()) < 250
 
 
-def test_nothing_goes_to_a_draining_server_or_one_left_out_of_a_full_list() -> None:
+def test_draining_and_unlisted_endpoints_get_no_requests() -> None:
     node = Node(servers=4)
     node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (server(1, api.EndpointState.DRAINING),)))
     assert server(1).id not in {node.serve(key) for key in range(1, 100)}
@@ -627,20 +627,20 @@
     assert {node.serve(key) for key in range(1, 100)} == {server(0).id, server(2).id}
 
 
-def test_an_empty_list_refuses_and_a_refill_serves() -> None:
+def test_empty_list_rejects_until_endpoints_return() -> None:
     node = Node(servers=0)
     assert isinstance(node.ask(2, 1)[0], api.Reject)
     node.tell(whole(server(1)))
     assert node.serve(1) == server(1).id
 
 
-def test_a_weight_of_nothing_is_as_any_other() -> None:
+def test_weight_of_zero_counts_as_one() -> None:
     node = Node(servers=0)
     node.tell(whole(server(0)._replace(weight=0.0), server(1)._replace(weight=0.0)))
     assert len({node.serve(key) for key in range(1, 50)}) == 2
 
 
-def test_a_heavier_server_gets_more_keys() -> None:
+def test_heavier_endpoint_gets_more_keys() -> None:
     node = Node(servers=0)
     node.tell(whole(server(0)._replace(weight=3.0), server(1), server(2)))
     got = Counter(node.serve(key) for key in range(1, 1001))
@@ -650,14 +650,14 @@
 # Further attempts.
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
+def test_maybe_executed_non_idempotent_request_fails_without_retry() -> None:
     node = Node()
     (send,) = node.ask(2, 1)
     assert isinstance(send, api.Forward)
     assert node.end(send, AttemptResult.ERROR) == [api.Fail(send.request_id)]
 
 
-def test_an_unsafe_request_that_found_no_connection_goes_to_another_server() -> None:
+def test_non_idempotent_request_is_retried_after_a_failed_connection() -> None:
     node = Node()
     (send,) = node.ask(2, 1)
     assert isinstance(send, api.Forward)
@@ -665,7 +665,7 @@
     assert isinstance(again, api.Forward) and again.endpoint_id != send.endpoint_id
 
 
-def test_a_keyed_request_is_repeated_in_its_cell_and_in_time_only() -> None:
+def test_keyed_request_is_retried_only_in_its_cell_and_window() -> None:
     node = Node(settings(classes=(KEYED,)), servers=6)
     (send,) = node.ask(0, 5)
     assert isinstance(send, api.Forward)
@@ -678,7 +678,7 @@
     assert node.end(late, AttemptResult.RESET) == [api.Fail(late.request_id)]
 
 
-def test_a_keyed_repeat_says_by_when_it_has_to_be_written_to_arrive_within_its_window() -> None:
+def test_keyed_retry_carries_a_write_deadline() -> None:
     """The window was looked at as a repeat was decided on: one that waited for its connection came after
     it, to servers that had forgotten the key, and ran again. The first attempt that may have run counts."""
     kind = api.RequestClass(
@@ -703,7 +703,7 @@
 
 
 @pytest.mark.parametrize(("left", "sent"), [(REPEAT_TRANSIT_NS + 1, True), (REPEAT_TRANSIT_NS, False)])
-def test_no_keyed_repeat_is_sent_where_its_window_may_end_on_its_way(left: int, sent: bool) -> None:
+def test_no_keyed_retry_is_sent_that_may_arrive_after_its_window(left: int, sent: bool) -> None:
     kind = api.RequestClass(
         SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ALL, 300 * MS
     )
@@ -715,14 +715,14 @@
     assert isinstance(action, api.Forward if sent else api.Reject)
 
 
-def test_a_keyed_request_without_a_key_is_not_repeated() -> None:
+def test_keyed_request_without_a_key_is_not_retried() -> None:
     node = Node(settings(classes=(KEYED,)))
     (send,) = node.ask(0, 0)
     assert isinstance(send, api.Forward)
     assert node.end(send, AttemptResult.RESET) == [api.Fail(send.request_id)]
 
 
-def test_further_attempts_are_bounded_by_a_budget() -> None:
+def test_retries_are_bounded_by_a_budget() -> None:
     node = Node(servers=30)
     again = 0
     for key in range(1, 201):
@@ -733,7 +733,7 @@
     assert 10 <= again <= 31
 
 
-def test_late_events_of_closed_requests_are_ignored() -> None:
+def test_events_of_closed_requests_are_ignored() -> None:
     node = Node()
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Forward)
@@ -747,7 +747,7 @@
 # The list.
 
 
-def test_a_failed_watch_is_asked_again_with_growing_pauses_within_the_bound() -> None:
+def test_failed_watch_is_reopened_with_bounded_backoff() -> None:
     """The bound was the time within which to ask; it is what the 6 s of a change leave, if that is less."""
     node = asking(poll_interval_ns=10 * SECOND)
     next_call(node)
@@ -767,7 +767,7 @@
         assert next_call(node) - before <= 500 * MS + 10 * MS
 
 
-def test_two_pauses_fit_into_the_6_s_of_a_change() -> None:
+def test_two_backoffs_fit_into_the_notification_limit() -> None:
     """A watch may end instead of telling, also the first after a discovery's return."""
     for seed in range(20):
         node = asking(seed)
@@ -782,14 +782,14 @@
         assert next_call(node) - returned + 2500 * MS <= 6 * SECOND
 
 
-def test_a_node_that_restarts_with_an_empty_list_asks_within_a_second() -> None:
+def test_node_restarted_with_an_empty_list_polls_within_a_second() -> None:
     balancer = Balancer(settings(discovery_mode=api.DiscoveryMode.POLL), 3)
     (timer,) = balancer.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.CACHED, ()))
     assert isinstance(timer, api.SetTimer)
     assert timer.at_ns - START <= SECOND
 
 
-def test_a_watch_is_asked_for_once_until_it_fails() -> None:
+def test_watch_is_opened_once_until_it_fails() -> None:
     balancer = Balancer(settings(discovery_mode=api.DiscoveryMode.POLL), 3)
     assert balancer.handle(1, api.TimerFired(2)) == [api.WatchEndpoints()]
     assert balancer.handle(2, api.TimerFired(2)) == []
@@ -797,7 +797,7 @@
     assert balancer.handle(4, api.TimerFired(2)) == [api.WatchEndpoints()]
 
 
-def test_repeats_within_a_zone_do_not_all_go_to_its_first_server() -> None:
+def test_retries_within_a_zone_are_spread_over_its_endpoints() -> None:
     kind = api.RequestClass(
         SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ZONE, 5 * SECOND
     )
@@ -814,14 +814,14 @@
     assert len(again) > 5
 
 
-def test_servers_that_are_gone_are_forgotten() -> None:
+def test_removed_endpoints_are_forgotten() -> None:
     balancer = Balancer(settings(), 3)
     for n in range(50):
         balancer.handle(n, whole(server(n), server(n + 1)))
     assert len(balancer._endpoints.by_id) == 2
 
 
-def test_nodes_that_start_together_ask_at_different_times() -> None:
+def test_nodes_that_start_together_poll_at_different_times() -> None:
     first = []
     for seed in range(10):
         node = Node(settings(discovery_mode=api.DiscoveryMode.POLL), seed=seed)
@@ -843,7 +843,7 @@
     return node
 
 
-def test_requests_of_a_key_go_out_one_at_a_time_in_the_order_taken() -> None:
+def test_requests_of_an_ordered_key_are_sent_one_at_a_time_in_order() -> None:
     node = ordered()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Forward)
@@ -857,7 +857,7 @@
     assert node.end(third, AttemptResult.OK) == []
 
 
-def test_a_key_rests_after_an_attempt_that_may_still_run() -> None:
+def test_ordered_key_cools_down_after_an_attempt_that_may_still_run() -> None:
     node = ordered()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Forward)
@@ -869,7 +869,7 @@
     assert [action for action in node.wait(2 * MS) if isinstance(action, api.Forward)]
 
 
-def test_a_client_that_left_holds_the_turn_until_its_attempt_is_over() -> None:
+def test_request_of_a_disconnected_client_blocks_its_key_until_its_attempt_ends() -> None:
     node = ordered()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Forward)
@@ -878,7 +878,7 @@
     assert isinstance(node.end(first, AttemptResult.OK)[0], api.Forward)
 
 
-def test_one_that_waits_too_long_is_refused_before_its_time_is_up() -> None:
+def test_queued_request_is_rejected_before_its_time_is_up() -> None:
     node = ordered()
     node.ask(0, 5)
     asked = node.now
@@ -888,7 +888,7 @@
     assert node.now > asked + SECOND // 3
 
 
-def test_a_queue_whose_end_comes_too_late_takes_no_more() -> None:
+def test_request_that_would_wait_too_long_is_not_queued() -> None:
     """A popular key at a single node asks for more than one at a time can do."""
     node = Node(settings(classes=(ORDERED,)))
     for _ in range(9):
@@ -906,8 +906,8 @@
     for key in keys:
         node.serve(key)
         node.wait(3 * SECOND)
-        for backend in node.balancer._endpoints.ready:
-            node.balancer._outliers.reinstate(backend)  # the first losses, not yet understood, eject some
+        for status in node.balancer._endpoints.ready:
+            node.balancer._outliers.reinstate(status)  # the first losses, not yet understood, eject some
         actions = node.ask(2, key)
         send = actions[-1]
         assert isinstance(send, api.Forward)
@@ -915,7 +915,7 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.RESET, AttemptResult.TIMEOUT])
-def test_an_idle_connection_is_closed_before_use_once_such_have_been_lost(result: AttemptResult) -> None:
+def test_idle_connections_are_closed_before_use_after_losses(result: AttemptResult) -> None:
     """A network dropped idle connections unseen: what was sent on one was lost and might have run."""
     node = Node()
     node.serve(1)
@@ -933,7 +933,7 @@
     assert [type(action) for action in node.ask(2, 524)] == [api.Forward]  # it did not idle for long
 
 
-def test_time_outs_of_slow_servers_do_not_make_idle_connections_suspect() -> None:
+def test_timeouts_of_slow_endpoints_do_not_distrust_idle_connections() -> None:
     """With forty nodes nearly every attempt goes out on a connection that idled for seconds, so time-outs
     do too: all nodes dropped their idle connections by the thousand, and forgave the slow servers."""
     node = Node()
@@ -947,7 +947,7 @@
     assert not [action for action in actions if isinstance(action, api.CloseIdleConnections)]
 
 
-def test_trust_in_idle_connections_comes_back() -> None:
+def test_trust_in_idle_connections_recovers() -> None:
     node = Node()
     lose_idle(node, AttemptResult.RESET, range(1, 5))
     node.wait(60 * SECOND)
@@ -956,7 +956,7 @@
     assert [type(action) for action in node.ask(2, 5)] == [api.Forward]
 
 
-def test_trust_comes_back_after_months_too() -> None:
+def test_trust_in_idle_connections_recovers_without_overflow() -> None:
     """The doubling of trust overflowed after some hours."""
     node = Node()
     lose_idle(node, AttemptResult.RESET, range(1, 5))
@@ -965,7 +965,7 @@
     assert isinstance(node.ask(2, 5)[-1], api.Forward)
 
 
-def test_what_is_lost_on_new_connections_too_is_not_for_idling() -> None:
+def test_losses_on_new_connections_do_not_distrust_idle_ones() -> None:
     node = Node(servers=30)
     for key in range(100, 120):
         send = node.ask(2, key)[-1]
@@ -977,7 +977,7 @@
     assert [type(action) for action in node.ask(2, 5)] == [api.Forward]
 
 
-def test_where_new_connections_fail_standing_ones_are_used_and_their_servers_not_ejected() -> None:
+def test_established_connections_are_used_while_new_ones_fail() -> None:
     """New connections turned slow at most servers: three quarters of them were ejected as down."""
     node = Node(servers=12)
     for key in range(1, 60):
@@ -1024,7 +1024,7 @@
         node.wait(50 * MS)
 
 
-def test_a_kind_that_reports_to_be_busier_gets_fewer_keys_where_the_list_gives_no_weights() -> None:
+def test_hardware_type_with_higher_utilization_gets_fewer_keys() -> None:
     """The slowest kind of a mixed fleet got as many keys as the others, and was never out of trouble."""
     node = machines()
     assert 0.4 < part_of_second_kind(node) < 0.6
@@ -1032,14 +1032,14 @@
     assert part_of_second_kind(node) < 0.3
 
 
-def test_listed_weights_are_not_second_guessed() -> None:
+def test_hash_ratios_stay_equal_where_the_list_gives_weights() -> None:
     node = machines(weight=2.0)
     before = part_of_second_kind(node)
     report(node, (0.3, 0.6))
     assert abs(part_of_second_kind(node) - before) < 0.05
 
 
-def test_reports_of_nothing_and_time_outs_alone_leave_every_kind_a_share() -> None:
+def test_every_hardware_type_keeps_a_hash_ratio() -> None:
     node = machines()
     report(node, (0.0, 0.0))
     assert 0.4 < part_of_second_kind(node) < 0.6
@@ -1051,7 +1051,7 @@
     assert all(kind.hash_ratio > 0.0 for kind in node.balancer._hardware_types.by_type.values())
 
 
-def test_no_further_attempt_once_an_answer_would_be_worth_nothing() -> None:
+def test_no_retry_once_an_answer_has_no_value() -> None:
     """After a time-out at the aim the same request went out again, for an answer that nobody wanted."""
     node = Node()
     (send,) = node.ask(0, 1, remaining_ns=3 * SECOND)
@@ -1063,7 +1063,7 @@
     assert isinstance(node.end(again, AttemptResult.TIMEOUT, 300 * MS)[0], api.Reject)
 
 
-def test_no_further_attempt_that_has_no_time_and_no_blame_for_one() -> None:
+def test_no_retry_without_time_left_and_no_ejection_for_an_early_timeout() -> None:
     """Time-outs of a few milliseconds, on what was left of the aim, ejected one good server after another."""
     node = Node(servers=6)
     for _ in range(8):
@@ -1086,7 +1086,7 @@
 
 
 @pytest.mark.parametrize("report", [(), (0.9,)])
-def test_an_answer_without_a_report_does_not_make_a_busy_server_look_idle(report: tuple[float, ...]) -> None:
+def test_answer_without_a_report_keeps_the_utilization(report: tuple[float, ...]) -> None:
     node = Node(settings(load_report_fields=("utilization",)), servers=1)
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Forward)
@@ -1115,12 +1115,12 @@
         ("key_cooldown_ns", lambda: settings(key_cooldown_ns=-1)),
     ],
 )
-def test_impossible_settings_are_refused_by_name(field: str, make: Callable[[], object]) -> None:
+def test_invalid_settings_raise_an_error_that_names_the_field(field: str, make: Callable[[], object]) -> None:
     with pytest.raises(ValueError, match=field):
         make()
 
 
-def test_overdriven_servers_get_a_rest() -> None:
+def test_caps_are_lowered_while_most_attempts_are_lost() -> None:
     """Where hardly anything was answered half of the old load kept the servers' queues full."""
     node = Node(settings(classes=(UNSAFE,)), servers=6)
     for _ in range(4):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -47,7 +47,7 @@
     ("nodes", "limits"),
     ((3, LOOSE), (3, STRICT), (20, STRICT), (20, BRIEF), (30, STRICT), (30, LONG), (200, STRICT)),
 )
-def test_no_cold_server_gets_more_than_its_budget_from_all_nodes_together(
+def test_all_nodes_together_keep_the_slow_start_limit(
     nodes: int, limits: tuple[float, int, float, int], lost: float, utilisation: float
 ) -> None:
     report = play(plan(nodes, limits, lost, utilisation))
@@ -55,7 +55,7 @@
     assert report.excess <= 1.0, report
 
 
-def test_a_second_loss_releases_no_burst_that_the_nodes_saved_up() -> None:
+def test_second_loss_causes_no_burst_of_saved_tokens() -> None:
     """Each node saves up a little for each cold server: with many nodes that adds up to many requests."""
     for nodes, lost in ((30, 0.5), (200, 0.1)):
         one = plan(nodes, STRICT, lost, 0.9)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "lost"), ((20, 0.5), (200, 0.5), (200, 0.1)))
-def test_cold_servers_are_used_also_by_many_nodes_with_thin_traffic(nodes: int, lost: float) -> None:
+def test_endpoints_in_slow_start_are_used_by_many_nodes_with_little_traffic(nodes: int, lost: float) -> None:
     """At the same part of their work as warm ones they would be used at 0.6. A node that saw each seldom
     earned its first request to it only when it was warm."""
     one = replace(plan(nodes, STRICT, lost, 0.6), steps=1, watched=5 * SECOND)
@@ -71,7 +71,7 @@
     assert sum(plays) / len(plays) > 0.3, plays
 
 
-def test_a_node_that_starts_where_all_servers_are_cold_sends_what_they_stand() -> None:
+def test_new_node_uses_a_fleet_that_is_all_in_slow_start() -> None:
     """It had no measure of what warm servers answer, and sent next to nothing until they were warm. What it
     is asked for is taken as what the fleet can do when warm: a cold server gets its even part by warmth."""
     cold = tuple(server(number, started=START) for number in range(6))
@@ -89,7 +89,7 @@
     assert 0.4 < sum(sent[150:]) / 50 < 0.8
 
 
-def test_a_fleet_of_one_server_that_restarts_is_not_left_without_any() -> None:
+def test_restarted_only_endpoint_gets_requests() -> None:
     for seed in range(20):
         node = Node(
             settings(slow_start_initial_ratio=0.3, slow_start_duration_ns=8 * SECOND), servers=1, seed=seed
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -77,26 +77,26 @@
 RULES = settings(classes=classes(api.DeduplicationScope.CELL), key_cooldown_ns=400 * MS)
 
 
-def test_the_checker_finds_nothing_in_the_module_as_it_is() -> None:
+def test_checker_accepts_the_module() -> None:
     assert broken_rule(RULES) == "none"
 
 
-def test_the_checker_sees_a_lost_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_a_request_without_a_final_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(FinalAnswers, "finish", lambda self, active: None)
     assert broken_rule(RULES) == "lost"
 
 
-def test_the_checker_sees_an_effect_that_may_happen_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_a_duplicate_execution(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ActiveRequest, "may_send_to", lambda self, endpoint, now_ns: True)
     assert broken_rule(RULES) == "duplicate"
 
 
-def test_the_checker_sees_a_refusal_that_invites_a_second_effect(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_an_unsafe_rejection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ActiveRequest, "may_reject", lambda self: True)
     assert broken_rule(RULES) == "duplicate"
 
 
-def test_the_checker_sees_a_drain_that_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_requests_to_a_draining_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     add_or_update = EndpointRegistry.add_or_update
 
     def add_all_as_ready(self: EndpointRegistry, now_ns: int, endpoint: api.Endpoint) -> None:
@@ -106,12 +106,12 @@
     assert broken_rule(RULES) == "drain"
 
 
-def test_the_checker_sees_a_cold_server_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_overload_of_an_endpoint_in_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "capacity_ratio", lambda self, now_ns, endpoint: 1.0)
     assert broken_rule(RULES) == "cold"
 
 
-def test_the_checker_sees_requests_of_a_key_out_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_concurrent_requests_of_an_ordered_key(monkeypatch: pytest.MonkeyPatch) -> None:
     def send_at_once(self: KeyOrdering, now_ns: int, active: ActiveRequest) -> bool:
         return self._send_first(now_ns, active)
 
@@ -119,12 +119,12 @@
     assert broken_rule(RULES) == "order"
 
 
-def test_the_checker_sees_a_key_that_does_not_rest(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_a_missing_key_cooldown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(KeyOrdering, "cool_down", lambda self, now_ns, active, result: None)
     assert broken_rule(RULES) == "order"
 
 
-def test_the_checker_sees_a_second_copy(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_two_attempts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     on_attempt_outcome = Balancer._on_attempt_outcome
 
     def send_again(self: Balancer, now_ns: int, outcome: api.AttemptOutcome) -> None:
@@ -138,7 +138,7 @@
     assert broken_rule(RULES) == "duplicate"
 
 
-def test_queues_leave_no_residue() -> None:
+def test_key_queues_are_empty_once_all_requests_are_complete() -> None:
     balancer = Balancer(RULES, 3)
     game = Game(balancer, RULES, Random(3))
     game.play(steps=400)
@@ -150,7 +150,7 @@
     ) == ({}, {}, 0)
 
 
-def test_the_same_events_give_the_same_actions() -> None:
+def test_decisions_are_deterministic() -> None:
     games = [Game(Balancer(BASE, 5), BASE, Random(9)) for _ in range(2)]
     for game in games:
         game.play(steps=300)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,7 +11,7 @@
 STILL_TO_SPLIT = {"node/listener.py", "node/dispatcher.py", "node/attempt.py"}
 
 
-def test_no_file_of_the_package_is_long() -> None:
+def test_files_of_the_package_are_short() -> None:
     long = {
         str(path.relative_to(PACKAGE))
         for path in PACKAGE.rglob("*.py")
@@ -20,15 +20,15 @@
     assert long == STILL_TO_SPLIT
 
 
-def test_no_line_of_the_package_is_long() -> None:
+def test_lines_of_the_package_are_short() -> None:
     lines = [line for path in PACKAGE.rglob("*.py") for line in path.read_text().splitlines()]
     assert max(map(len, lines)) <= MAX_LINE_LENGTH
 
 
-def test_the_deploy_file_names_every_module_that_decides() -> None:
+def test_deploy_file_lists_every_policy_module() -> None:
     own = {f"moleport/policy/{path.name}" for path in (PACKAGE / "policy").glob("*.py")}
     assert own - {"moleport/policy/__init__.py", "moleport/policy/interface.py"} == set(POLICY)
 
 
-def test_the_top_of_the_balancer_names_its_interface() -> None:
+def test_first_line_of_the_balancer_names_its_interface() -> None:
     assert "interface.py" in (PACKAGE / "policy" / "balancer.py").read_text().splitlines()[0]
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -32,14 +32,14 @@
     return node
 
 
-def test_a_tick_costs_what_changed_and_not_the_list() -> None:
+def test_window_end_costs_as_the_changes_and_not_as_the_endpoints() -> None:
     """Each went through all servers, for their fullness, warmth, reports and weights."""
     nodes = [busy_fleet(count) for count in (300, 3000)]
     few, many = (operations(lambda node=node: node.tell(TICK)) for node in nodes)
     assert many < 1.2 * few + 300
 
 
-def test_a_tick_costs_what_came_and_not_all_keys_that_are_remembered() -> None:
+def test_window_end_costs_as_the_new_keys_and_not_as_all_cached_keys() -> None:
     """At 7,200 servers a node remembers 43,200 requests, and faded the counts of all their keys."""
     costs = []
     for count in (100, 3000):
@@ -51,12 +51,12 @@
     assert costs[1] < costs[0] + 300
 
 
-def test_a_check_for_ejection_does_not_go_through_all_servers_or_all_that_are_out() -> None:
+def test_ejection_check_does_not_iterate_over_endpoints() -> None:
     """In a cut of half the fleet each failure went through the list."""
     node = fleet(2000)
-    for backend in node.balancer._endpoints.ready[:900]:
-        backend.failure_rate = 0.9
-        node.balancer._outliers.eject(node.now, backend)
+    for status in node.balancer._endpoints.ready[:900]:
+        status.failure_rate = 0.9
+        node.balancer._outliers.eject(node.now, status)
     failing = node.balancer._endpoints.ready[1500]
     failing.failure_rate = 0.8
     assert operations(lambda: node.balancer._outliers.may_eject(failing, AttemptResult.TIMEOUT)) < 2000
@@ -64,12 +64,12 @@
     assert node.balancer._outliers.may_eject(failing, AttemptResult.CONNECT_FAILED)
 
 
-def test_the_mildest_ejected_server_makes_room_for_one_that_fails_all() -> None:
+def test_at_the_ejection_limit_a_worse_endpoint_replaces_the_one_with_the_min_failure_rate() -> None:
     node = Node(servers=12)
     ready = node.balancer._endpoints.ready
-    for backend, failures in zip(ready, (0.9, 0.6, 0.6), strict=False):
-        backend.failure_rate = failures
-        node.balancer._outliers.eject(node.now, backend)
+    for status, failures in zip(ready, (0.9, 0.6, 0.6), strict=False):
+        status.failure_rate = failures
+        node.balancer._outliers.eject(node.now, status)
     ready[5].failure_rate = 0.8
     assert not node.balancer._outliers.may_eject(ready[5], AttemptResult.TIMEOUT)  # not that much worse
     ready[5].failure_rate = 1.0
@@ -77,7 +77,7 @@
     assert [bool(one.ejected_until_ns) for one in ready[:3]] == [True, False, True]  # the lower id of two
 
 
-def test_an_ejected_server_that_drains_and_returns_is_counted_while_it_is_ready() -> None:
+def test_ejected_endpoint_is_counted_only_while_it_is_ready() -> None:
     node = Node(servers=4)
     balancer = node.balancer
     balancer._outliers.eject(node.now, balancer._endpoints.ready[1])
@@ -86,24 +86,24 @@
         assert len(balancer._outliers.ejected) == count
 
 
-def test_fullness_fades_while_a_server_is_ready_and_is_then_forgotten() -> None:
+def test_rejection_rates_decay_while_an_endpoint_is_ready() -> None:
     node = Node(servers=1)
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Forward)
     node.end(send, AttemptResult.REJECTED)
-    backend = node.balancer._endpoints.ready[0]
+    status = node.balancer._endpoints.ready[0]
     node.tell(TICK)
-    assert backend.rejection_rates[0] == pytest.approx(0.2 * 0.95)
+    assert status.rejection_rates[0] == pytest.approx(0.2 * 0.95)
     node.tell(delta(server(0, EndpointState.DRAINING)))
     node.tell(TICK)
-    assert backend.rejection_rates[0] == pytest.approx(0.2 * 0.95)
+    assert status.rejection_rates[0] == pytest.approx(0.2 * 0.95)
     node.tell(delta(server(0)))
     node.wait(70 * SECOND)
-    assert not node.balancer._rejection_rates._affected and not backend.rejection_rates
+    assert not node.balancer._rejection_rates._affected and not status.rejection_rates
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_what_is_kept_count_of_is_what_is_there(seed: int) -> None:
+def test_incremental_counts_match_the_endpoints(seed: int) -> None:
     rules = settings(load_report_fields=("utilization",), slow_start_duration_ns=SECOND)
     balancer = Balancer(rules, seed)
     game = Game(balancer, rules, Random(seed))
@@ -117,8 +117,8 @@
             int(one.utilization * WEIGHT_UNITS) for one in ready
         )
         assert set(balancer._outliers.ejected) == {one for one in ready if one.ejected_until_ns}
-        for backend in balancer._outliers.ejected:
-            assert (backend.failure_rate, backend.endpoint.id) in balancer._outliers._by_failure_rate
+        for status in balancer._outliers.ejected:
+            assert (status.failure_rate, status.endpoint.id) in balancer._outliers._by_failure_rate
         warm = [one for one in ready if balancer._slow_start.capacity_ratio(game.now, one.endpoint) >= 1.0]
         assert balancer._slow_start.warm_weight(game.now) == sum(one.endpoint.weight for one in warm)
         assert set(balancer._slow_start._warming) == set(ready) - set(warm)
@@ -128,7 +128,7 @@
         assert len(balancer._endpoints.candidates) == len(ready)
 
 
-def test_changes_of_weight_and_start_are_followed() -> None:
+def test_warm_weight_follows_changes_of_weight_and_start_time() -> None:
     node = Node(settings(slow_start_duration_ns=SECOND), servers=0)
     cold = server(2, started=node.now)
     node.tell(whole(server(0)._replace(weight=0.1), server(1)._replace(weight=0.2), cold))
@@ -177,7 +177,7 @@
         came.clear()
 
 
-def test_counts_survive_months_of_fading() -> None:
+def test_hot_key_counts_stay_finite_after_many_windows() -> None:
     hitters = HotKeyTracker()
     for key in range(60_000):
         hitters.record(key % 40)
@@ -187,17 +187,17 @@
     assert len(hitters._fewest) == len(hitters._counts)
 
 
-def test_the_heap_of_the_ejected_does_not_grow_with_time() -> None:
+def test_heap_of_ejected_endpoints_stays_bounded() -> None:
     node = Node(servers=12)
-    backend = node.balancer._endpoints.ready[3]
+    status = node.balancer._endpoints.ready[3]
     for turn in range(3000):
-        backend.failure_rate = 0.5 + turn / 10_000
-        node.balancer._outliers.eject(node.now, backend)
+        status.failure_rate = 0.5 + turn / 10_000
+        node.balancer._outliers.eject(node.now, status)
     assert len(node.balancer._outliers._by_failure_rate) < 100
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_each_class_stops_short_of_all_that_are_worth_more(seed: int) -> None:
+def test_cap_of_a_class_leaves_capacity_for_higher_priorities(seed: int) -> None:
     random = Random(seed)
     kinds = tuple(
         api.RequestClass(
@@ -225,7 +225,7 @@
         assert cap == min([thresholds[index], *bounds])
 
 
-def test_a_tick_costs_as_the_number_of_classes_and_not_its_square() -> None:
+def test_window_end_costs_linearly_in_the_number_of_classes() -> None:
     """Each class was held against each other: at 1,600 of them a node idled at 18% of a core."""
     costs = []
     for count in (100, 800):
