--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -20,10 +20,10 @@
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
-LATENCY = MS  # one way
-DIAL_TIMEOUT = 60 * MS
-TOLD_WITHIN = 300 * MS  # of a change, each node at its own time
-KEYS = 5000
+LATENCY_NS = MS  # one way
+CONNECT_TIMEOUT_NS = 60 * MS
+NOTIFICATION_DELAY_NS = 300 * MS  # of a change, each node at its own time
+KEY_COUNT = 5000
 
 
 @dataclass
@@ -33,16 +33,16 @@
     nodes: int
     servers: int
     utilisation: float  # of all servers, warm
-    fall_multiple: float
-    fall_time: int
-    cold_share: float
-    cold_time: int
+    overload_multiple: float
+    overload_window_ns: int
+    slow_start_initial_ratio: float
+    slow_start_duration_ns: int
     lost: float  # part of the servers that goes, and comes back cold
     lost_for: int = 1500 * MS
     lost_later: float = 0.0  # part of the servers that goes for good while the first are cold again
     steps: int = 1  # in which they come back
     step_time: int = SECOND
-    aims: tuple[int, int] = (200 * MS, 500 * MS)
+    latency_objectives_ns: tuple[int, int] = (200 * MS, 500 * MS)
     deadlines: tuple[int, int] = (400 * MS, 2500 * MS)
     capacity: float = 40.0  # of a warm server, a second
     cores: int = 4  # requests that a server works on at once
@@ -71,7 +71,7 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.balancer: Balancer | None = None
-        self.life = 0  # counts its starts: what was meant for an earlier one is void
+        self.incarnation = 0  # counts its starts: what was meant for an earlier one is void
         self.attempts: dict[int, int] = {}
 
 
@@ -80,14 +80,14 @@
         self.plan, self.random, self.now = plan, Random(plan.seed), START
         self.settings = settings(
             classes=(
-                api.RequestClass(plan.aims[0], 3.0, 0.0, api.Idempotency.IDEMPOTENT),
-                api.RequestClass(plan.aims[1], 9.0, 0.0, api.Idempotency.NOT_IDEMPOTENT),
+                api.RequestClass(plan.latency_objectives_ns[0], 3.0, 0.0, api.Idempotency.IDEMPOTENT),
+                api.RequestClass(plan.latency_objectives_ns[1], 9.0, 0.0, api.Idempotency.NOT_IDEMPOTENT),
             ),
             node_count=plan.nodes,
-            slow_start_initial_ratio=plan.cold_share,
-            slow_start_duration_ns=plan.cold_time,
+            slow_start_initial_ratio=plan.slow_start_initial_ratio,
+            slow_start_duration_ns=plan.slow_start_duration_ns,
             max_attempts=3,
-            overload_multiple=plan.fall_multiple,
+            overload_multiple=plan.overload_multiple,
         )
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
@@ -120,23 +120,23 @@
     # Nodes.
 
     def _start(self, member: Member) -> None:
-        member.life += 1
+        member.incarnation += 1
         member.balancer = Balancer(self.settings, self.random.getrandbits(32))
         self._act(member, member.balancer.start(self.now))
         ready = tuple(server.entry for server in self.servers.values() if server.up)
-        self._tell(member, member.life, api.EndpointUpdate(api.EndpointUpdateKind.SNAPSHOT, ready))
+        self._tell(member, member.incarnation, api.EndpointUpdate(api.EndpointUpdateKind.SNAPSHOT, ready))
 
     def _tell(self, member: Member, life: int, event: api.Event) -> None:
-        if life == member.life and member.balancer is not None:
+        if life == member.incarnation and member.balancer is not None:
             self._act(member, member.balancer.handle(self.now, event))
 
     def _act(self, member: Member, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
                 timer = api.TimerFired(action.timer_id)
-                self.at(action.at_ns, lambda e=timer, life=member.life: self._tell(member, life, e))
+                self.at(action.at_ns, lambda e=timer, life=member.incarnation: self._tell(member, life, e))
             elif isinstance(action, api.Forward):
-                self._carry(member, member.life, action)
+                self._carry(member, member.incarnation, action)
 
     def _share_out(self) -> None:
         busy = set(self.random.sample(range(self.plan.nodes), round(self.plan.busy_part * self.plan.nodes)))
@@ -153,17 +153,17 @@
         (member,) = self.random.choices(self.members, cum_weights=self._shares)
         self.asked += 1
         index = self.random.random() < 0.2
-        key = 1 + int(KEYS * self.random.random() ** 1.5)  # some come more often, none is hot
+        key = 1 + int(KEY_COUNT * self.random.random() ** 1.5)  # some come more often, none is hot
         request = api.Request(self._count, self.plan.deadlines[index], int(index), 0, key, False)
-        self._tell(member, member.life, request)
+        self._tell(member, member.incarnation, request)
         self._next_request()
 
     # Servers.
 
     def capacity(self, entry: api.Endpoint, at: int) -> float:
         """A second. From the cold share rising evenly to all."""
-        age = (at - entry.started_at_ns) / self.plan.cold_time if entry.started_at_ns else 1.0
-        warmth = self.plan.cold_share + (1.0 - self.plan.cold_share) * age
+        age = (at - entry.started_at_ns) / self.plan.slow_start_duration_ns if entry.started_at_ns else 1.0
+        warmth = self.plan.slow_start_initial_ratio + (1.0 - self.plan.slow_start_initial_ratio) * age
         return self.plan.capacity * min(1.0, warmth)
 
     def _carry(self, member: Member, life: int, send: api.Forward) -> None:
@@ -184,7 +184,7 @@
 
         def arrive() -> None:
             if not server.up:
-                self.at(sent + DIAL_TIMEOUT, lambda: end(AttemptResult.CONNECT_FAILED))
+                self.at(sent + CONNECT_TIMEOUT_NS, lambda: end(AttemptResult.CONNECT_FAILED))
                 return
             server.arrivals.append(self.now)
             if server.at_work < self.plan.cores:
@@ -192,7 +192,7 @@
             elif len(server.queue) < self.plan.queued:
                 server.queue.append(work)
             else:
-                self.at(self.now + LATENCY, lambda: end(AttemptResult.REJECTED))
+                self.at(self.now + LATENCY_NS, lambda: end(AttemptResult.REJECTED))
 
         def work() -> None:
             server.at_work += 1
@@ -206,7 +206,7 @@
             if server.queue:
                 server.queue.popleft()()
 
-        self.at(sent + LATENCY, arrive)
+        self.at(sent + LATENCY_NS, arrive)
         self.at(sent + send.timeout_ns, lambda: end(AttemptResult.TIMEOUT))
 
     def lose(self, numbers: Sequence[int]) -> None:
@@ -226,8 +226,8 @@
     def _publish(self, entries: list[api.Endpoint]) -> None:
         change = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, tuple(entries))
         for member in self.members:
-            delay = self.random.randrange(TOLD_WITHIN)
-            self.at(self.now + delay, lambda m=member, life=member.life: self._tell(m, life, change))
+            delay = self.random.randrange(NOTIFICATION_DELAY_NS)
+            self.at(self.now + delay, lambda m=member, life=member.incarnation: self._tell(m, life, change))
 
     def restart(self, part: float) -> None:
         for member in self.random.sample(self.members, round(part * len(self.members))):
@@ -239,12 +239,12 @@
         """The most that any window held, against what was allowed then: above 1 the server falls."""
         most, first, times = 0.0, 0, server.arrivals
         for last, at in enumerate(times):
-            if at >= server.entry.started_at_ns + self.plan.cold_time:
+            if at >= server.entry.started_at_ns + self.plan.slow_start_duration_ns:
                 break
-            while times[first] <= at - self.plan.fall_time:
+            while times[first] <= at - self.plan.overload_window_ns:
                 first += 1
-            span = self.plan.fall_time / SECOND
-            allowed = self.plan.fall_multiple * self.capacity(server.entry, at) * span
+            span = self.plan.overload_window_ns / SECOND
+            allowed = self.plan.overload_multiple * self.capacity(server.entry, at) * span
             most = max(most, (last + 1 - first) / (allowed + 2.0 * sqrt(allowed) + 2.0))
         return most
 
@@ -277,7 +277,7 @@
         fleet.run(plan.step_time if step + 1 < plan.steps else plan.watched // 2)
     fleet.lose(range(len(lost), len(lost) + round(plan.lost_later * plan.servers)))
     fleet.run(plan.watched - plan.watched // 2)
-    until = min(fleet.now, fleet.now - plan.watched + plan.cold_time)
+    until = min(fleet.now, fleet.now - plan.watched + plan.slow_start_duration_ns)
     cold = [server for server in fleet.servers.values() if server.entry.started_at_ns]
     excesses = [fleet.excess(server) for server in cold]
     used = sum(fleet.used(server, until) for server in cold) / len(cold)
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found and each mechanism; no bench, no servers, hand-made events."""
+"""Unit tests of each mechanism of the policy, on events made by hand."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def window(node: Node, count: int, elapsed: int, class_index: int = 0) -> None:
-    """Some answers of one response time, held in flight for that time; then the window's end."""
+    """Serve requests with one response time, in flight for 300 ms, up to the end of the window."""
     sends = [node.ask(class_index, key)[0] for key in range(1, count + 1)]
     node.wait(300 * MS)
     for send in sends:
@@ -25,12 +25,12 @@
 
 
 def admitted(node: Node, count: int = 400, class_index: int = 0) -> int:
-    """How many requests that come at once are let in."""
+    """Return how many of the requests that arrive at once are admitted."""
     return sum(isinstance(node.ask(class_index, 10_000 + n)[0], api.Forward) for n in range(count))
 
 
 def quieten(node: Node) -> None:
-    """Enough other requests that no key of the test counts as a hot one."""
+    """Send enough other requests that no key of the test is a hot key."""
     for key in 2 * list(range(100, 136)):
         node.serve(key)
 
@@ -40,17 +40,17 @@
     return settings(classes=(kind,), **changes)
 
 
-# Calls for the list.
+# Discovery polling.
 
 
 def asking(seed: int = 1, poll_interval_ns: int = 60 * SECOND) -> Node:
-    """A node that has started with the list it held, and asks for what changed since."""
+    """Return a node that has started with a cached list and polls for changes."""
     asked = settings(discovery_mode=api.DiscoveryMode.POLL, poll_interval_ns=poll_interval_ns)
     return Node(asked, seed=seed, kind=api.EndpointUpdateKind.CACHED)
 
 
 def next_call(node: Node) -> int:
-    """When the module next asks for the list."""
+    """Return the time of the next call for the list, in ns."""
     while not any(isinstance(action, api.WatchEndpoints) for action in node.wait(10 * MS)):
         assert node.now < START + 1000 * SECOND
     return node.now
@@ -58,8 +58,10 @@
 
 @pytest.mark.parametrize("hangs", [0, 300 * MS, 2 * SECOND, 2500 * MS])
 def test_failed_call_backoff_and_next_call_fit_into_the_notification_limit(hangs: int) -> None:
-    """Pauses doubled up to the time within which to ask. A change that came as the last call had just been
-    taken counts as told 6 s later, and the next call may take 2.5 s of them."""
+    """A change that a failed call just missed has to be notified within 6 s.
+
+    The next call may take 2.5 s of them, so the backoff has to leave that time.
+    """
     pauses = set()
     for seed in range(20):
         node = asking(seed)
@@ -86,7 +88,7 @@
 
 
 def test_first_poll_leaves_time_for_its_answer() -> None:
-    """A node that starts asked within half of the time that a running one has: 30 s of a minute."""
+    """A node polls within half of the interval after its start."""
     firsts = set()
     for seed in range(50):
         node = asking(seed)
@@ -106,8 +108,7 @@
 
 
 def test_retry_after_is_the_objective_only_where_late_answers_have_value() -> None:
-    """Refused clients came back after their aim, when no answer was worth anything any more: during a release
-    each request was tried 2.3 times, and the retries took what room there was."""
+    """Clients that return after the objective, when no answer has value, only add load."""
     for retry_after in (True, False):
         node = Node(settings(sends_retry_after=retry_after), servers=0)
         waits = [node.ask(class_index)[0].retry_after_ns for class_index in range(3)]  # type: ignore[union-attr]
@@ -156,7 +157,7 @@
 
 
 def test_higher_priority_class_is_not_crowded_out_by_a_higher_cap_of_a_lower_one() -> None:
-    """The heavier class missed its aim first and was refused first, though it was worth more."""
+    """The class with more work a request misses its objective first, and may have the higher priority."""
     light = api.RequestClass(2 * SECOND, 8.0, 0.0, api.Idempotency.IDEMPOTENT)
     heavy = api.RequestClass(SECOND, 10.0, 0.0, api.Idempotency.IDEMPOTENT)
     node = Node(settings(classes=(light, heavy), weight_by_work=True), servers=6)
@@ -166,7 +167,7 @@
 
 
 def test_timed_out_attempts_count_as_in_flight_for_their_duration_again() -> None:
-    """Servers went on with work that nobody waited for and were filled up again at once."""
+    """Endpoints may go on with requests that have timed out."""
     node = Node(
         settings(classes=(api.RequestClass(SECOND, 1.0, 0.5, api.Idempotency.NOT_IDEMPOTENT),)), servers=6
     )
@@ -192,7 +193,7 @@
 
 
 def test_timeouts_of_unreachable_endpoints_do_not_lower_the_cap() -> None:
-    """In a zone cut old attempts ran out seconds later and were taken for load."""
+    """When a zone is cut off, its attempts time out seconds later; that is no sign of load."""
     node = Node(one_class(), servers=12)
     silent = server(0).id
     waiting = []
@@ -215,8 +216,7 @@
 
 
 def test_few_slow_endpoints_do_not_lower_the_cap() -> None:
-    """Four of thirteen servers turned slow: their part of the samples alone held the cap at five requests in
-    flight, and two thirds of all were refused for ten seconds while the others had next to nothing to do."""
+    """The response times of some slow endpoints must not shed load that the others can carry."""
     node = Node(one_class(latency_objective_ns=200 * MS), servers=8)
     slow = sorted(node.balancer._endpoints.by_id)[:3]
     for turn in range(30):
@@ -232,7 +232,7 @@
 
 
 def test_all_endpoints_turning_slow_lower_the_cap() -> None:
-    """A server is slow against what is usual, and what all do becomes that."""
+    """An endpoint is slow only in comparison with the typical response time of all."""
     node = Node(one_class(latency_objective_ns=200 * MS), servers=8)
     for elapsed in [15 * MS] * 4 + [500 * MS] * 12:
         window(node, 30, elapsed)
@@ -247,7 +247,7 @@
 
 
 def test_burst_above_the_cap_is_admitted_while_the_mean_is_below_it() -> None:
-    """With hundreds of nodes a cap is near one: bunches of two or three were refused by idle servers."""
+    """With hundreds of nodes a cap is near one, and chance puts two or three requests together."""
     node = Node(one_class(node_count=120), servers=12)  # a cap of one
     sends = [node.ask(0, key)[0] for key in range(1, 5)]
     assert [isinstance(send, api.Forward) for send in sends] == [True, True, True, False]
@@ -259,8 +259,7 @@
 
 
 def test_cap_below_one_is_kept() -> None:
-    """One request of each class at each node was always let in: of many nodes, more than what was left
-    of the fleet could do, so that overload never ended."""
+    """A minimum of one request for each class and node would exceed what few endpoints can carry."""
     node = Node(one_class(node_count=600), servers=12)
     (send,) = node.ask(0, 1)
     assert isinstance(send, api.Forward)
@@ -275,7 +274,7 @@
 def test_idle_fleet_keeps_the_cap_unless_the_objective_is_missed(
     report: float, least: int, most: int
 ) -> None:
-    """A class's own long requests passed the target on a quiet day."""
+    """A class's own long requests may exceed the target without any load."""
     node = Node(one_class(load_report_fields=("utilization",)), servers=6)
     window(node, 10, 200 * MS)
     for _ in range(6):
@@ -304,7 +303,7 @@
 
 
 def test_rejections_make_a_key_prefer_its_other_endpoint() -> None:
-    """With no or one request at a server, own load can't tell a crowded one from an idle one."""
+    """Few requests in flight may mean an idle endpoint or one that rejects at once."""
     node = Node()
     quieten(node)
     home = node.serve(42)
@@ -322,8 +321,7 @@
 
 
 def test_endpoints_that_reject_one_class_still_get_the_others() -> None:
-    """Half of the servers answered one class as full, at once and with no load: all its requests went there,
-    and their refusals closed its breaker, and with it those of the lesser classes."""
+    """Fast rejections look like low load, attract the class, and would close its breaker."""
     node = Node(servers=6)
     closed = {server(number).id for number in range(3)}
     for status in node.balancer._endpoints.by_id.values():
@@ -378,7 +376,7 @@
 
 
 def test_hot_key_is_detected_by_a_node_with_little_traffic() -> None:
-    """With hundreds of nodes each saw a popular key once a second at most, and all sent it to one server."""
+    """With hundreds of nodes, each sees a popular key once a second at most."""
     node = Node(servers=60)
     for n in range(90):
         node.serve(42 if n % 6 == 0 else 1000 + n)
@@ -387,7 +385,7 @@
 
 
 def test_keys_counted_without_endpoints_cause_no_error_later() -> None:
-    """A share of no servers was drawn from once some came back."""
+    """A fan-out of 0 endpoints must not be drawn from."""
     node = Node(servers=0)
     for _ in range(3):
         node.ask(0, 42)
@@ -432,7 +430,7 @@
 
 
 def test_rarely_used_endpoint_is_ejected_by_one_failure_and_for_longer() -> None:
-    """Of hundreds of nodes each met a failing server once in ten seconds, and never twice in a row."""
+    """Each of hundreds of nodes meets a failing endpoint once in ten seconds."""
     node = Node(servers=12)
     quieten(node)
     home = node.serve(42)
@@ -445,8 +443,7 @@
 
 
 def test_new_endpoint_does_not_count_as_silent() -> None:
-    """Just after its start a node stood still for a moment: each server that had not answered by then was
-    left out for up to eight seconds by a single time-out, and held the place of one that was truly slow."""
+    """An endpoint that has not answered yet is not ejected by its first failure, nor for longer."""
     node = Node(servers=12)
     node.wait(100 * MS)
     first = node.ask(0, 42)[0]
@@ -460,7 +457,7 @@
 
 
 def test_resets_do_not_eject_an_endpoint_that_answers_others() -> None:
-    """A network that broke one connection in twelve kept a quarter of the servers ejected at all times."""
+    """A network that breaks some connections is no fault of the endpoints."""
     node = Node(servers=12)
     quieten(node)
     home = node.serve(42)
@@ -481,7 +478,7 @@
 
 
 def test_trial_ends_when_its_connection_fails() -> None:
-    """A trial that told nothing stayed on, and its server out, for good."""
+    """A trial without a conclusive outcome must not keep the endpoint ejected for good."""
     node = Node()
     quieten(node)
     home = node.serve(42)
@@ -497,8 +494,7 @@
 
 
 def test_endpoint_that_times_out_on_some_requests_is_not_ejected() -> None:
-    """Under load a third of the servers was left out for every other time-out of theirs, and the load of the
-    rest grew by half."""
+    """Under load many endpoints time out now and then; ejecting them overloads the others."""
     node = Node(servers=6)
     for _ in range(8):
         window(node, 12, 100 * MS)
@@ -543,8 +539,7 @@
 
 
 def test_endpoint_that_fails_more_replaces_an_ejected_one() -> None:
-    """Servers that timed out a few times in the first busy moment held all places among the ejected. One
-    that answered every request with an error stayed in for a second and a half, and got more than any."""
+    """Endpoints with few time-outs must not fill the limit of ejections while another one fails always."""
     node = Node(servers=8)
     mild, milder, bad = [
         node.balancer._endpoints.by_id[name] for name in sorted(node.balancer._endpoints.by_id)
@@ -564,7 +559,7 @@
 
 
 def test_keys_go_to_the_own_zone_while_its_endpoints_are_idle() -> None:
-    """With forty nodes nearly every choice is a tie, and two thirds of all attempts crossed zones."""
+    """With forty nodes most load scores are equal, so the order of preference decides."""
     node = Node(settings(zone=1), servers=12)
     got = Counter(node.serve(key) for key in range(1, 301))
     assert sum(got[server(number).id] for number in range(1, 12, 3)) > 270
@@ -595,8 +590,7 @@
 
 
 def test_slow_start_budget_does_not_fall_while_load_is_shed() -> None:
-    """While the breaker refused most, warm servers got little, cold ones a part of that, and all crowded
-    the few warm ones the more."""
+    """Shed load lowers the requests of warm endpoints, but not their capacity."""
     node = Node()
     for _ in range(10):
         for key in range(1, 61):
@@ -679,8 +673,10 @@
 
 
 def test_keyed_retry_carries_a_write_deadline() -> None:
-    """The window was looked at as a repeat was decided on: one that waited for its connection came after
-    it, to servers that had forgotten the key, and ran again. The first attempt that may have run counts."""
+    """A retry that waits for its connection may reach the endpoint after the deduplication window.
+
+    The window begins with the first attempt that may have been executed.
+    """
     kind = api.RequestClass(
         SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ALL, 300 * MS
     )
@@ -748,7 +744,7 @@
 
 
 def test_failed_watch_is_reopened_with_bounded_backoff() -> None:
-    """The bound was the time within which to ask; it is what the 6 s of a change leave, if that is less."""
+    """The bound is what the notification limit leaves, if that is less than the poll interval."""
     node = asking(poll_interval_ns=10 * SECOND)
     next_call(node)
     pauses = []
@@ -768,7 +764,7 @@
 
 
 def test_two_backoffs_fit_into_the_notification_limit() -> None:
-    """A watch may end instead of telling, also the first after a discovery's return."""
+    """A watch may end without bringing a list, also right after discovery has recovered."""
     for seed in range(20):
         node = asking(seed)
         for _ in range(12):
@@ -889,7 +885,7 @@
 
 
 def test_request_that_would_wait_too_long_is_not_queued() -> None:
-    """A popular key at a single node asks for more than one at a time can do."""
+    """A popular key at a single node gets more requests than one at a time can serve."""
     node = Node(settings(classes=(ORDERED,)))
     for _ in range(9):
         window(node, 2, 300 * MS)
@@ -916,7 +912,7 @@
 
 @pytest.mark.parametrize("result", [AttemptResult.RESET, AttemptResult.TIMEOUT])
 def test_idle_connections_are_closed_before_use_after_losses(result: AttemptResult) -> None:
-    """A network dropped idle connections unseen: what was sent on one was lost and might have run."""
+    """What is sent on a connection that the network has dropped is lost, and may have been executed."""
     node = Node()
     node.serve(1)
     node.wait(3 * SECOND)
@@ -934,8 +930,7 @@
 
 
 def test_timeouts_of_slow_endpoints_do_not_distrust_idle_connections() -> None:
-    """With forty nodes nearly every attempt goes out on a connection that idled for seconds, so time-outs
-    do too: all nodes dropped their idle connections by the thousand, and forgave the slow servers."""
+    """With forty nodes nearly all attempts use connections that have been idle for seconds."""
     node = Node()
     actions: list[api.Action] = []
     for key in range(81, 161):
@@ -957,7 +952,7 @@
 
 
 def test_trust_in_idle_connections_recovers_without_overflow() -> None:
-    """The doubling of trust overflowed after some hours."""
+    """The doublings of the trusted idle time are bounded."""
     node = Node()
     lose_idle(node, AttemptResult.RESET, range(1, 5))
     node.serve(5)
@@ -978,7 +973,7 @@
 
 
 def test_established_connections_are_used_while_new_ones_fail() -> None:
-    """New connections turned slow at most servers: three quarters of them were ejected as down."""
+    """Endpoints that answer on established connections are not down."""
     node = Node(servers=12)
     for key in range(1, 60):
         node.serve(key)
@@ -1025,7 +1020,7 @@
 
 
 def test_hardware_type_with_higher_utilization_gets_fewer_keys() -> None:
-    """The slowest kind of a mixed fleet got as many keys as the others, and was never out of trouble."""
+    """Where the list gives no weights, the slowest type must not get as many keys as the others."""
     node = machines()
     assert 0.4 < part_of_second_kind(node) < 0.6
     report(node, (0.3, 0.9))
@@ -1052,7 +1047,7 @@
 
 
 def test_no_retry_once_an_answer_has_no_value() -> None:
-    """After a time-out at the aim the same request went out again, for an answer that nobody wanted."""
+    """After a time-out at the objective nobody waits for an answer."""
     node = Node()
     (send,) = node.ask(0, 1, remaining_ns=3 * SECOND)
     assert isinstance(send, api.Forward) and send.timeout_ns == 500 * MS
@@ -1064,7 +1059,7 @@
 
 
 def test_no_retry_without_time_left_and_no_ejection_for_an_early_timeout() -> None:
-    """Time-outs of a few milliseconds, on what was left of the aim, ejected one good server after another."""
+    """Time-outs of a few milliseconds, all that a retry has left, say nothing of the endpoint."""
     node = Node(servers=6)
     for _ in range(8):
         window(node, 12, 100 * MS)
@@ -1121,7 +1116,7 @@
 
 
 def test_caps_are_lowered_while_most_attempts_are_lost() -> None:
-    """Where hardly anything was answered half of the old load kept the servers' queues full."""
+    """Overloaded endpoints need less than half of the load to empty their queues."""
     node = Node(settings(classes=(UNSAFE,)), servers=6)
     for _ in range(4):
         window(node, 12, 50 * MS)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""The slow start of cold servers holds for the whole fleet and does not starve them; no sockets."""
+"""Slow start over a whole fleet: endpoints are neither overloaded nor starved."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
-# Fall multiple, fall time, cold share and cold time.
+# Overload multiple, overload window, initial ratio and duration of slow start.
 STRICT = (1.5, 1500 * MS, 0.5, 5 * SECOND)
 LONG = (2.0, 3 * SECOND, 0.15, 20 * SECOND)
 BRIEF = (3.0, 1500 * MS, 0.3, 3 * SECOND)
@@ -19,8 +19,10 @@
 
 
 def plan(nodes: int, limits: tuple[float, int, float, int], lost: float, utilisation: float) -> Plan:
-    """Servers come back in steps under the load of all, and turn away what they can't queue. Some nodes are
-    new when they do."""
+    """Return a plan in which endpoints come back in steps under the load of all.
+
+    They reject what they can't queue. Some nodes start anew as the endpoints return.
+    """
     small = Plan(
         nodes,
         20,
@@ -56,7 +58,7 @@
 
 
 def test_second_loss_causes_no_burst_of_saved_tokens() -> None:
-    """Each node saves up a little for each cold server: with many nodes that adds up to many requests."""
+    """The tokens that many nodes save for one endpoint add up to many requests."""
     for nodes, lost in ((30, 0.5), (200, 0.1)):
         one = plan(nodes, STRICT, lost, 0.9)
         assert play(replace(one, steps=1, watched=5 * SECOND, lost_later=0.9 - lost)).excess <= 1.0
@@ -64,16 +66,19 @@
 
 @pytest.mark.parametrize(("nodes", "lost"), ((20, 0.5), (200, 0.5), (200, 0.1)))
 def test_endpoints_in_slow_start_are_used_by_many_nodes_with_little_traffic(nodes: int, lost: float) -> None:
-    """At the same part of their work as warm ones they would be used at 0.6. A node that saw each seldom
-    earned its first request to it only when it was warm."""
+    """A node that selects each endpoint seldom must not earn its first token only when that is warm.
+
+    At the utilization of warm endpoints, those in slow start would be used at 0.6 of their capacity.
+    """
     one = replace(plan(nodes, STRICT, lost, 0.6), steps=1, watched=5 * SECOND)
-    plays = [play(replace(one, seed=seed)).used for seed in (1, 2, 3)]  # two cold servers alone are a lottery
+    plays = [
+        play(replace(one, seed=seed)).used for seed in (1, 2, 3)
+    ]  # two endpoints in slow start alone vary too much
     assert sum(plays) / len(plays) > 0.3, plays
 
 
 def test_new_node_uses_a_fleet_that_is_all_in_slow_start() -> None:
-    """It had no measure of what warm servers answer, and sent next to nothing until they were warm. What it
-    is asked for is taken as what the fleet can do when warm: a cold server gets its even part by warmth."""
+    """Without a measured request rate of warm endpoints, the node's arrivals stand in for it."""
     cold = tuple(server(number, started=START) for number in range(6))
     node = Node(settings(slow_start_initial_ratio=0.3, slow_start_duration_ns=8 * SECOND), servers=0)
     node.tell(whole(*cold))
@@ -85,7 +90,7 @@
         if sent[-1]:
             node.end(actions[-1], AttemptResult.OK)
         node.wait(10 * MS)
-    assert 0.2 < sum(sent[50:100]) / 50 < 0.6  # after 1 to 2 s the servers do 0.4 to 0.5 of their work
+    assert 0.2 < sum(sent[50:100]) / 50 < 0.6  # after 1 to 2 s the capacity ratio is 0.4 to 0.5
     assert 0.4 < sum(sent[150:]) / 50 < 0.8
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules over generated legal sequences of events, for all shapes of settings."""
+"""Invariants over generated legal sequences of events, for all shapes of settings."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def broken_rule(rules: api.Settings, games: int = 60) -> str:
-    """What the checker says of the module as it is now, over many sequences."""
+    """Return the rule that the checker finds broken over many generated sequences, or "none"."""
     for seed in range(games):
         try:
             Game(Balancer(rules, seed), rules, Random(seed)).play(steps=250)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""Files of the package hold one job each and stay short; the deploy file names all modules that decide."""
+"""Sizes of the files of the package, and the modules that the deploy file lists."""
 
 import tomllib
 from pathlib import Path
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -1,4 +1,4 @@
-"""Ticks and ejection checks cost what changed, and what they keep count of is what is there."""
+"""Cost of windows and ejection checks, and counts that are kept incrementally."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 def test_window_end_costs_as_the_changes_and_not_as_the_endpoints() -> None:
-    """Each went through all servers, for their fullness, warmth, reports and weights."""
+    """The end of a window must not iterate over all endpoints."""
     nodes = [busy_fleet(count) for count in (300, 3000)]
     few, many = (operations(lambda node=node: node.tell(TICK)) for node in nodes)
     assert many < 1.2 * few + 300
 
 
 def test_window_end_costs_as_the_new_keys_and_not_as_all_cached_keys() -> None:
-    """At 7,200 servers a node remembers 43,200 requests, and faded the counts of all their keys."""
+    """At 7,200 endpoints a node remembers 43,200 requests by key."""
     costs = []
     for count in (100, 3000):
         node = fleet(3000)
@@ -52,7 +52,7 @@
 
 
 def test_ejection_check_does_not_iterate_over_endpoints() -> None:
-    """In a cut of half the fleet each failure went through the list."""
+    """While half of the fleet is unreachable, each failure leads to a check."""
     node = fleet(2000)
     for status in node.balancer._endpoints.ready[:900]:
         status.failure_rate = 0.9
@@ -226,7 +226,7 @@
 
 
 def test_window_end_costs_linearly_in_the_number_of_classes() -> None:
-    """Each class was held against each other: at 1,600 of them a node idled at 18% of a core."""
+    """Settings may hold hundreds of classes; comparing all pairs costs too much."""
     costs = []
     for count in (100, 800):
         kind = api.RequestClass(SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENT)
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,12 +16,12 @@
 MS = SECOND // 1000
 START = 77 * SECOND
 
-DEADLINE = SECOND
+DEADLINE_NS = SECOND
 
 # The rules as the checker holds them; the module is told only what it needs to keep them.
-DRAIN_GRACE = 500 * MS
-FALL_MULTIPLE = 3.0
-FALL_TIME = 1500 * MS
+DRAIN_GRACE_NS = 500 * MS
+OVERLOAD_MULTIPLE = 3.0
+OVERLOAD_WINDOW_NS = 1500 * MS
 
 SAFE = api.RequestClass(500 * MS, 1.0, 0.0, api.Idempotency.IDEMPOTENT)
 KEYED = api.RequestClass(
@@ -185,7 +185,7 @@
         rnd = self.random
         index = rnd.randrange(len(self.rules.classes))
         kind = self.rules.classes[index]
-        left = rnd.choice([DEADLINE, DEADLINE // 2, MS])
+        left = rnd.choice([DEADLINE_NS, DEADLINE_NS // 2, MS])
         request = api.Request(
             len(self.taken) + 1,
             left,
@@ -321,7 +321,7 @@
         for taken, index in self._outstanding():
             if taken.streaming == index:
                 self._outcome(taken, index, api.AttemptResult.OK)
-        self._pass(DEADLINE + MS)
+        self._pass(DEADLINE_NS + MS)
         for taken in self.taken.values():
             if not taken.answered:
                 raise RuleBroken(f"lost: request {taken.request.id} was never answered")
@@ -360,7 +360,7 @@
         if send.endpoint_id not in self.listed:
             raise RuleBroken(f"malformed: {send} goes to a server never listed")
         target = self.listed[send.endpoint_id]
-        if send.endpoint_id in self.stopped and self.now > self.stopped[send.endpoint_id] + DRAIN_GRACE:
+        if send.endpoint_id in self.stopped and self.now > self.stopped[send.endpoint_id] + DRAIN_GRACE_NS:
             raise RuleBroken(f"drain: {send} goes to a server told to be draining or gone")
         if len(taken.tries) >= self.rules.max_attempts:
             raise RuleBroken(f"duplicate: {send} is one attempt too many")
@@ -435,12 +435,12 @@
             self.rules.slow_start_initial_ratio
             + (1 - self.rules.slow_start_initial_ratio) * age / self.rules.slow_start_duration_ns
         )
-        span = FALL_TIME
+        span = OVERLOAD_WINDOW_NS
         recent = sum(1 for at in times[self.before_start.get(target.id, 0) :] if at > self.now - span)
         most = 0
         for name, sent in self.sends.items():
             entry = self.listed[name]
             if not entry.started_at_ns or self.now - entry.started_at_ns >= self.rules.slow_start_duration_ns:
                 most = max([most, *(sum(1 for x in sent if at - span < x <= at) for at in sent)])
-        if recent > FALL_MULTIPLE * warmth * most + 3:  # two saved up and one earned
+        if recent > OVERLOAD_MULTIPLE * warmth * most + 3:  # two saved up and one earned
             raise RuleBroken(f"cold: {recent} requests within {span} ns to {target}")
