--- a/moleport/policy/endpoint_registry.py
+++ b/moleport/policy/endpoint_registry.py
@@ -62,8 +62,7 @@
             return
         elif endpoint.started_at_ns != status.endpoint.started_at_ns:
             self._outliers.reinstate(status)
-            status.slow_start_tokens = self._slow_start.initial_tokens(now_ns, endpoint)
-            status.refilled_at_ns = now_ns
+            self._slow_start.on_restart(now_ns, status, endpoint)
             status.listed_at_ns = now_ns
         status.endpoint = endpoint
         self._changed[endpoint.id] = None
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -108,6 +108,11 @@
         min_tokens = min(1.0, FLEET_INITIAL_TOKEN_COUNT / self._node_count)
         return max(self._random.random() + earned, min_tokens)
 
+    def on_restart(self, now_ns: int, status: EndpointStatus, endpoint: api.Endpoint) -> None:
+        """Begin with new tokens where the new entry of an endpoint has another start time."""
+        status.slow_start_tokens = self.initial_tokens(now_ns, endpoint)
+        status.refilled_at_ns = now_ns
+
     def add_ready(self, status: EndpointStatus) -> None:
         """Count an endpoint that has become ready; `warm_weight` checks whether it is warm."""
         self._warming[status] = None
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -551,7 +551,7 @@
     mild.failure_rate += 0.1
     for _ in range(3):
         node.balancer._record_result(node.now, bad, AttemptResult.ERROR, 0)
-        assert not bad.ejected_until_ns  # as bad as those that are out
+        assert not bad.ejected_until_ns  # its failure rate is no higher than theirs
     for _ in range(3):
         node.balancer._record_result(node.now, bad, AttemptResult.ERROR, 0)
     assert bad.ejected_until_ns and mild.ejected_until_ns
