--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""The real node on loopback sockets, between small servers, a discovery and clients that a test scripts."""
+"""The real node on loopback sockets, with servers, a discovery agent and clients that a test scripts."""
 
 from __future__ import annotations
 
@@ -22,28 +22,32 @@
 from moleport.node.node_factory import build_node
 from moleport.policy import interface as api
 
-PATIENCE = 20.0  # s: only a test that has failed waits so long
+PATIENCE = 20.0  # s: only a failing test waits for so long
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
+    """Run a test on the event loop that the node uses."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(test, PATIENCE * 2))
 
 
 async def until(what: Callable[[], object]) -> None:
-    """Wait for something that no one tells of."""
+    """Poll until the condition is true."""
     async with asyncio.timeout(PATIENCE):
         while not what():
             await asyncio.sleep(0.002)
 
 
 class Message(NamedTuple):
+    """A request or response; `first` is its first line, header names are in lower case."""
+
     first: str
     headers: dict[str, str]
     body: bytes
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
+    """Read a message with a Content-Length or without a body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.rstrip().split("\r\n")
     headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
@@ -52,6 +56,7 @@
 
 
 def answer(status: int = 200, body: bytes = b"frame", **headers: str) -> bytes:
+    """Return a response; an underscore in a header name stands for a hyphen."""
     lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} X\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
@@ -60,10 +65,13 @@
 
 
 async def serves(_: Message, writer: asyncio.StreamWriter) -> None:
+    """Answer 200 to each request."""
     writer.write(answer())
 
 
 def says(data: bytes, close: bool = False, abort: bool = False) -> Script:
+    """Return a script that sends the data, and then closes or resets the connection."""
+
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         await writer.drain()
@@ -76,18 +84,18 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """An abort alone ends a connection in order, where nothing lies unread."""
+    """Reset a connection; an abort alone closes it in order if nothing is unread."""
     own = writer.get_extra_info("socket")
     own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     writer.transport.abort()
 
 
 async def silent(_: Message, __: asyncio.StreamWriter) -> None:
-    pass
+    """Send nothing."""
 
 
 class Server:
-    """One server; its script answers each request."""
+    """A server whose script answers each request."""
 
     def __init__(self, name: str, script: Script = serves) -> None:
         self.name = name
@@ -110,6 +118,7 @@
         self.stop()
 
     def stop(self) -> None:
+        """Stop listening; connections stay open."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -129,6 +138,7 @@
             writer.close()
 
     def entry(self) -> dict[str, Any]:
+        """Return the server's entry in an endpoint list."""
         return {
             "id": self.name,
             "addr": self.address,
@@ -142,7 +152,7 @@
 
 
 class Discovery:
-    """Takes watches and holds them open."""
+    """A discovery agent that accepts watches and keeps them open."""
 
     def __init__(self) -> None:
         self.targets: list[str] = []
@@ -156,14 +166,14 @@
         return self
 
     async def listen(self) -> None:
-        """At any free address, or again where it has listened before."""
+        """Listen at a free address, or again at the earlier one."""
         _, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", int(port or 0))
         host, number = self._server.sockets[0].getsockname()
         self.address = f"{host}:{number}"
 
     async def refuse(self) -> None:
-        """Connections are refused, until it listens again."""
+        """Refuse connections until `listen` is called again."""
         assert self._server is not None
         self._server.close()
         await self._server.wait_closed()
@@ -181,26 +191,31 @@
         await reader.read()
 
     def is_watched(self) -> bool:
-        """Whether the newest watch stands, as far as this side knows."""
+        """Return whether the newest watch is open, as far as this side knows."""
         return not self._writers[-1].transport.is_closing()
 
     def push_raw(self, data: bytes) -> None:
+        """Send bytes on the newest watch."""
         self._writers[-1].write(data)
 
     def push_bytes(self, data: bytes) -> None:
+        """Send one chunk on the newest watch."""
         self._writers[-1].write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def push(self, version: int, *servers: Server, full: bool = False) -> None:
+        """Send an endpoint list update on the newest watch."""
         entries = [server.entry() for server in servers]
         self.push_bytes(json.dumps({"version": version, "full": full, "servers": entries}).encode() + b"\n")
 
     def drop(self) -> None:
+        """Abort all watches."""
         for writer in self._writers:
             writer.transport.abort()
         self._writers.clear()
 
 
 def grade(name: str, semantics: str, deadline_ms: int = 10_000, aim_ms: int = 10_000) -> dict[str, Any]:
+    """Return a request class in the protocol's words."""
     return {
         "Aim": aim_ms * 10**6,
         "Deadline": deadline_ms * 10**6,
@@ -236,6 +251,7 @@
 
 
 def configuration(*servers: Server, discovery: str = "127.0.0.1:9", **limits: Any) -> dict[str, Any]:
+    """Return a node's configuration document; `limits` replace those of SETTINGS."""
     settings = copy.deepcopy(SETTINGS)
     settings["Limits"].update(limits)
     return {
@@ -250,7 +266,7 @@
 
 
 class Spy:
-    """The balancer of a node, with its events noted; a test may put a decision of its own in their place."""
+    """Wraps a node's balancer and records its events; `instead` may replace its decisions."""
 
     def __init__(self, node: Dispatcher) -> None:
         self.events: list[api.Event] = []
@@ -259,28 +275,31 @@
         node._balancer = self  # type: ignore[assignment]
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        """Record the event and return the actions on it."""
         self.events.append(event)
         done = self.instead(event)
         return self._balancer.handle(now, event) if done is None else done
 
     def outcomes(self) -> list[api.AttemptOutcome]:
+        """Return the recorded outcomes of attempts."""
         return [event for event in self.events if isinstance(event, api.AttemptOutcome)]
 
     def lists(self, kind: api.EndpointUpdateKind) -> list[api.EndpointUpdate]:
+        """Return the recorded endpoint list updates of a kind."""
         return [
             event for event in self.events if isinstance(event, api.EndpointUpdate) and event.kind is kind
         ]
 
 
 class Rig:
-    """A node in this process."""
+    """A node in the process of the test."""
 
     def __init__(self, document: dict[str, Any]) -> None:
         self._document = document
         self._stack = AsyncExitStack()
         self.config: Config
         self.node: Dispatcher
-        self.front: Listener
+        self.listener: Listener
         self.spy: Spy
         self.address: tuple[str, int]
 
@@ -289,10 +308,10 @@
             path = Path(folder, "config.json")
             path.write_text(json.dumps(self._document))
             self.config = load({"BALANCER_CONFIG": str(path)})
-        self.node, self.front = build_node(self.config)
+        self.node, self.listener = build_node(self.config)
         self.spy = Spy(self.node)
         self.node._balancer.start = self.spy._balancer.start  # type: ignore[method-assign]
-        self.address = self.front.listen()
+        self.address = self.listener.listen()
         self.node.start()
         return self
 
@@ -302,24 +321,25 @@
 
     async def shut_down(self, within: float) -> None:
         """As on SIGTERM, but without serving on first; `within` is in s."""
-        await shut_down(self.front, self.node, ShutdownPlan(serve_on_s=0.0, finish_within_s=within))
+        await shut_down(self.listener, self.node, ShutdownPlan(serve_on_s=0.0, finish_within_s=within))
 
     async def client(self) -> Client:
+        """Connect a client to the node."""
         return Client(*await asyncio.open_connection(*self.address, limit=1 << 20))
 
     def watch(self) -> None:
-        """Have the watch opened now; the module would ask within seconds."""
+        """Open the discovery watch now; the balancer would do so within seconds."""
         self.node._do(api.WatchEndpoints())
 
 
-LEAVE = ("sending", "close", "reset")  # how a client may end
+LEAVE = ("sending", "close", "reset")  # how a client may disconnect: half close, close, reset
 numbers = count(1)
 
 
 def request(
     kind: str = "", method: str = "", target: str = "/api", body: bytes = b"", **headers: str
 ) -> bytes:
-    """One with a body is of a class that is unsafe to repeat, as the method follows from the class."""
+    """Return a request; without a class or method they follow from the body and from each other."""
     kind = kind or ("order" if body else "page")
     method = method or ("GET" if kind == "page" else "POST")
     given = {"Host": "service.internal", "X-Request-Id": f"{next(numbers):016x}", "X-Class": kind}
@@ -331,19 +351,24 @@
 
 
 class Client:
+    """A client's connection to the node."""
+
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     async def read(self) -> Message:
+        """Read a response."""
         async with asyncio.timeout(PATIENCE):
             return await read_message(self.reader)
 
     async def ask(self, data: bytes) -> Message:
+        """Send a request and read its response."""
         self.writer.write(data)
         return await self.read()
 
     def leave(self, how: str) -> None:
+        """Disconnect in one of the ways in LEAVE."""
         if how == "sending":
             self.writer.write_eof()
         elif how == "close":
@@ -352,7 +377,7 @@
             reset(self.writer)
 
     async def ended(self) -> bytes:
-        """What comes until the node has closed the connection."""
+        """Return what arrives until the node closes the connection."""
         async with asyncio.timeout(PATIENCE):
             try:
                 return await self.reader.read()
@@ -361,4 +386,5 @@
 
 
 def status(message: Message) -> int:
+    """Return the status code of a response."""
     return int(message.first.split(" ")[1])
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The client side: framing, bad input, forwarding, slow readers, and faults of the module."""
+"""The client side: framing, invalid requests, forwarding, time limits, and faults of the policy."""
 
 from __future__ import annotations
 
@@ -27,7 +27,9 @@
 from moleport.policy import interface as api
 
 
-def test_a_request_goes_on_as_protocol_says() -> None:
+def test_a_request_is_forwarded_with_its_headers_and_body() -> None:
+    """Target, body and headers reach the server; the policy gets class, key, deadline and load report."""
+
     async def test() -> None:
         async with (
             Server("s-1", says(answer(X_Load="depth=2,load_share=0.61", Content_Type="image/png"))) as server,
@@ -61,7 +63,9 @@
     run(test())
 
 
-def test_get_has_no_body_and_an_absent_deadline_is_the_classs() -> None:
+def test_a_get_has_no_body_and_without_a_deadline_that_of_its_class() -> None:
+    """A GET is forwarded without a length; without X-Deadline the class's longest deadline applies."""
+
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -76,12 +80,13 @@
 
 
 def raw(*lines: str, body: bytes = b"") -> bytes:
+    """Return a POST request with these header lines."""
     head = "POST /api HTTP/1.1", "X-Request-Id: 1", "X-Class: order", *lines, "", ""
     return "\r\n".join(head).encode() + body
 
 
 HIDDEN = b"0\r\n\r\n" + request("order")
-BAD_INPUT = {
+INVALID_REQUESTS = {
     "class": (request("nosuch"), 400),
     "no id": (request(X_Request_Id=""), 400),
     "odd id": (request(X_Request_Id="a b"), 400),
@@ -118,10 +123,12 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD_INPUT)
-def test_bad_input_reaches_nobody_and_ends_its_connection(name: str) -> None:
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
+def test_an_invalid_request_is_rejected_and_ends_its_connection(name: str) -> None:
+    """Neither the policy nor a server sees the request, or what follows it on the connection."""
+
     async def test() -> None:
-        data, expected = BAD_INPUT[name]
+        data, expected = INVALID_REQUESTS[name]
         document = configuration()
         document["settings"]["Grades"].append(grade("pay", "by_key"))
         async with Server("s-1") as server:
@@ -137,7 +144,9 @@
     run(test())
 
 
-def test_a_deadline_that_is_over_fails_and_one_of_years_is_the_classs() -> None:
+def test_an_expired_deadline_fails_and_a_long_one_is_cut_to_that_of_the_class() -> None:
+    """A request with no time left gets 504; one with years left counts as one of its class."""
+
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -149,7 +158,8 @@
     run(test())
 
 
-def test_an_id_that_is_open_is_not_served_twice_and_is_free_again_after_that() -> None:
+def test_a_request_id_in_flight_is_rejected_and_may_be_reused_after_the_response() -> None:
+    """A second request with the id of one in flight gets 409."""
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -171,7 +181,8 @@
     run(test())
 
 
-def test_a_client_that_ends_its_sending_gets_its_answers_and_one_that_stops_half_way_a_close() -> None:
+def test_a_half_closed_client_gets_its_response_but_none_to_a_partial_request() -> None:
+    """A partial request that can never be completed ends the connection."""
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -184,7 +195,7 @@
             client.writer.write(request("order"))
             await until(lambda: server.seen)
             client.writer.write_eof()
-            (connection,) = rig.front.table.connections
+            (connection,) = rig.listener.table.connections
             await until(lambda: connection._half_closed)
             release.set()
             assert status(await client.read()) == 200
@@ -193,7 +204,7 @@
             half.writer.write(request("order")[:-9])
             half.writer.write_eof()
             assert await half.ended() == b""
-            await until(lambda: not rig.front.table.connections)
+            await until(lambda: not rig.listener.table.connections)
             assert len(server.seen) == 1
 
     run(test())
@@ -201,8 +212,8 @@
 
 @pytest.mark.parametrize("how", LEAVE)
 @pytest.mark.parametrize("behind", [1, 300])  # more than the reader takes, less than the kernel
-def test_nothing_is_sent_on_behind_a_request_whose_client_has_left(how: str, behind: int) -> None:
-    """Its end stood behind what was not read, and each of its requests went out in turn."""
+def test_no_pipelined_request_of_a_departed_client_is_forwarded(how: str, behind: int) -> None:
+    """The client's end of stream is behind data that is not read yet."""
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -214,17 +225,17 @@
             client = await rig.client()
             client.writer.write(b"".join(request("order") for _ in range(1 + behind)))
             await until(lambda: server.seen)
-            (connection,) = rig.front.table.connections
+            (connection,) = rig.listener.table.connections
             await until(lambda: connection._paused)
             client.leave(how)
-            await until(lambda: connection._half_closed or not rig.front.table.connections)
+            await until(lambda: connection._half_closed or not rig.listener.table.connections)
             release.set()
             if how == "sending":
                 assert status(await client.read()) == 200
                 refused = await client.read()
                 assert (status(refused), refused.headers["retry-after"]) == (503, "1.500")
                 client.writer.close()
-            await until(lambda: not rig.front.table.connections and not rig.node._open)
+            await until(lambda: not rig.listener.table.connections and not rig.node._open)
             assert len(server.seen) == 1
 
     run(test())
@@ -232,19 +243,19 @@
 
 @pytest.mark.parametrize("how", LEAVE)
 @pytest.mark.parametrize("kind", ["page", "order"])
-def test_no_further_attempt_is_made_for_a_client_that_has_left(kind: str, how: str) -> None:
-    """A close looks like the end of sending, and the request went to the next server."""
+def test_no_retry_is_made_for_a_departed_client(kind: str, how: str) -> None:
+    """A close looks like a half close to the node, and both rule out a retry."""
 
     async def test() -> None:
         release = asyncio.Event()
 
-        async def turns_away(_: Message, writer: asyncio.StreamWriter) -> None:
+        async def rejects(_: Message, writer: asyncio.StreamWriter) -> None:
             await release.wait()
             writer.write(answer(503, X_Not_Run="1"))
 
         async with (
-            Server("s-1", turns_away) as one,
-            Server("s-2", turns_away) as two,
+            Server("s-1", rejects) as one,
+            Server("s-2", rejects) as two,
             Rig(configuration(one, two)) as rig,
         ):
             client = await rig.client()
@@ -255,22 +266,22 @@
             release.set()
             if how == "sending":
                 assert status(await client.read()) == 503  # it never ran
-            await until(lambda: not rig.front.table.connections and not rig.node._open)
+            await until(lambda: not rig.listener.table.connections and not rig.node._open)
             assert len(one.seen) + len(two.seen) == 1
             assert len([one for one in rig.spy.events if isinstance(one, api.AttemptOutcome)]) == 1
 
     run(test())
 
 
-def test_no_more_is_read_than_is_served() -> None:
-    """Guards against one client that sends thousands of requests ahead: they stay in its own queue."""
+def test_pipelined_requests_stay_in_the_kernel_until_they_are_served() -> None:
+    """A client that sends thousands of requests ahead fills its own queue, not the memory of the node."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(b"".join(request("order") for _ in range(3000)))
             await until(lambda: server.seen)
-            (connection,) = rig.front.table.connections
+            (connection,) = rig.listener.table.connections
             await until(lambda: connection._paused)
             assert len(connection._parser.ready) < 50
             assert len(rig.node._open) == 1
@@ -279,9 +290,10 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nX-Cl", request(body=b"xy")[:-1]])
-def test_a_new_connection_has_its_time_from_connecting_and_a_used_one_may_rest(
+def test_a_new_connection_is_timed_out_from_connecting_and_a_used_one_may_be_idle(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Data that arrives slowly does not extend the time limit of a request."""
     assert connection_table.MAX_NEW_SECONDS + connection_table.SWEEP_PERIOD_SECONDS < 3.0
     assert connection_table.MAX_IDLE_SECONDS >= 2.0
     monkeypatch.setattr(connection_table, "MAX_NEW_SECONDS", 0.3)
@@ -297,7 +309,7 @@
             client = await rig.client()
             client.writer.write(sent[:1])
             await asyncio.sleep(0.1)
-            client.writer.write(sent[1:])  # that some of it comes slowly gives no new time
+            client.writer.write(sent[1:])  # slow data extends no limit
             if sent:
                 assert status(await client.read()) == 408
             assert await client.ended() == b""
@@ -308,7 +320,8 @@
     run(test())
 
 
-def test_a_used_connection_is_closed_when_it_has_been_idle_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_used_connection_is_closed_after_the_idle_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The node closes a connection that has been idle for MAX_IDLE_SECONDS."""
     monkeypatch.setattr(connection_table, "MAX_IDLE_SECONDS", 0.1)
     monkeypatch.setattr(connection_table, "SWEEP_PERIOD_SECONDS", 0.02)
 
@@ -321,10 +334,12 @@
     run(test())
 
 
-def test_those_that_never_asked_make_room_first_then_idle_ones_and_rejected_ones_at_once() -> None:
+def test_slots_are_reclaimed_from_lingering_then_new_then_idle_connections() -> None:
+    """A full table serves new clients, and keeps a used connection while others can be closed."""
+
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.table.max_connections = 3
+            rig.listener.table.max_connections = 3
             used = await rig.client()
             assert status(await used.ask(request())) == 200
             rejected = await rig.client()
@@ -336,37 +351,36 @@
             new = await rig.client()
             assert status(await new.ask(request())) == 200
             assert status(await used.ask(request())) == 200
-            assert len(server.seen) == 3 and rig.front.table.open_count <= 3
+            assert len(server.seen) == 3 and rig.listener.table.open_count <= 3
 
     run(test())
 
 
-def test_clients_that_ask_once_and_stay_do_not_hold_the_places_of_the_others(
+def test_idle_connections_hold_at_most_a_part_of_the_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With a bound on all clients' connections they left a tenth of it for requests, on an idle tier."""
+    """Clients that send one request and stay connected leave slots to the others."""
     monkeypatch.setattr(connection_table, "MIN_IDLE_SECONDS", 0.0)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.table.max_connections = 40
+            rig.listener.table.max_connections = 40
             clients = [await rig.client() for _ in range(20)]
             for client in clients:
                 assert status(await client.ask(request())) == 200
-            assert len(rig.front.table._idle) <= connection_table.MAX_IDLE_RATIO * 40 + 1
+            assert len(rig.listener.table._idle) <= connection_table.MAX_IDLE_RATIO * 40 + 1
             assert await clients[0].ended() == b""
             assert status(await clients[-1].ask(request())) == 200
 
     run(test())
 
 
-def test_a_crowd_that_says_nothing_passes_through_the_table_fast() -> None:
-    """Hundreds that connect at once wait in the queue ahead of the usual clients, while the table took
-    in a tenth of itself at each sweep."""
+def test_silent_connections_pass_through_a_full_table_fast() -> None:
+    """Hundreds of silent clients that wait in the queue delay the other clients by seconds only."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.front.table.max_connections = 20
+            rig.listener.table.max_connections = 20
             used = [await rig.client() for _ in range(10)]
             for client in used:
                 assert status(await client.ask(request())) == 200
@@ -376,14 +390,16 @@
             assert status(await late.ask(request())) == 200
             # Half of the table and more at a time, each with 0.1 s to bring something; a tenth took 30 s.
             assert asyncio.get_running_loop().time() - begun < 12
-            assert rig.front.table.open_count <= 20 + listener.ACCEPT_BATCH_CONNECTIONS
+            assert rig.listener.table.open_count <= 20 + listener.ACCEPT_BATCH_CONNECTIONS
             for client in crowd:
                 client.writer.close()
 
     run(test())
 
 
-def test_what_a_rejected_client_goes_on_sending_is_read_for_a_bounded_while() -> None:
+def test_data_after_a_rejection_is_dropped_up_to_a_limit() -> None:
+    """A rejected client can read its response, but not send without end."""
+
     async def test() -> None:
         async with Rig(configuration()) as rig:
             client = await rig.client()
@@ -393,12 +409,14 @@
                 for _ in range(1000):
                     client.writer.write(b"x" * 60_000)
                     await client.writer.drain()
-            await until(lambda: not rig.front.table.connections)
+            await until(lambda: not rig.listener.table.connections)
 
     run(test())
 
 
-def test_pipelined_requests_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
+    """Each response belongs to the oldest unanswered request; an invalid one ends the connection."""
+
     async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(body=message.body))
 
@@ -415,8 +433,8 @@
     run(test())
 
 
-def test_many_pipelined_answers_do_not_pile_up_calls() -> None:
-    """Guards against an answer that serves the next request from within: that would recurse."""
+def test_many_pipelined_responses_cause_no_recursion() -> None:
+    """A response that is written at once must not serve the next request from within."""
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
@@ -428,7 +446,9 @@
     run(test())
 
 
-def test_bytes_that_come_one_by_one_make_the_same_request() -> None:
+def test_a_request_and_response_in_single_bytes_are_unchanged() -> None:
+    """Framing does not depend on how the bytes are split."""
+
     async def test() -> None:
         async with (
             Server("s-1", lambda message, writer: _slowly(writer, answer(body=b"whole"))) as server,
@@ -451,7 +471,9 @@
         await asyncio.sleep(0)
 
 
-def test_the_largest_bodies_pass_unchanged_both_ways() -> None:
+def test_the_largest_bodies_pass_unchanged_in_both_directions() -> None:
+    """Bodies of 64 KB are forwarded as they are."""
+
     async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(body=message.body[::-1]))
 
@@ -464,7 +486,9 @@
     run(test())
 
 
-def test_a_client_that_reads_too_slowly_gets_nothing_after_its_deadline() -> None:
+def test_a_slow_reader_is_disconnected_at_its_deadline() -> None:
+    """A response that is not taken by the deadline is given up with its connection."""
+
     async def test() -> None:
         large = says(answer(body=b"x" * 65536))
         async with Server("s-1", large) as server, Rig(configuration(server)) as rig:
@@ -473,31 +497,35 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
                 client.setblocking(False)
                 await loop.sock_connect(client, rig.address)
-                await until(lambda: rig.front.table.connections)
-                (connection,) = rig.front.table.connections
+                await until(lambda: rig.listener.table.connections)
+                (connection,) = rig.listener.table.connections
                 assert connection._transport is not None
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request(X_Deadline="300m"))
                 await until(lambda: connection._slow_reader is not None)
-                await until(lambda: not rig.front.table.connections)
+                await until(lambda: not rig.listener.table.connections)
 
     run(test())
 
 
-def test_up_answers_only_when_there_is_a_server() -> None:
+def test_the_readiness_check_fails_without_endpoints_and_while_stopping() -> None:
+    """`/up` answers 200 only while there are endpoints and the node is not shutting down."""
+
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration()) as empty, Rig(configuration(server)) as rig:
             up = request(target="/up", method="GET")
             assert status(await (await empty.client()).ask(up)) == 503
             assert status(await (await rig.client()).ask(up)) == 200
-            rig.front.context.is_stopping = True
+            rig.listener.context.is_stopping = True
             assert status(await (await rig.client()).ask(up)) == 503
 
     run(test())
 
 
-def test_expect_continue_is_answered() -> None:
+def test_expect_continue_is_answered_and_not_forwarded() -> None:
+    """The node sends 100 itself, as it reads the complete body first."""
+
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -509,7 +537,9 @@
     run(test())
 
 
-def test_a_fault_of_the_module_fails_its_own_request_only(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_exception_in_the_policy_fails_only_its_own_request(caplog: pytest.LogCaptureFixture) -> None:
+    """The exception is logged, and other requests go on."""
+
     def broken(event: api.Event) -> list[api.Action] | None:
         if isinstance(event, api.Request) and event.class_index == 1:
             raise ZeroDivisionError("in the module")
@@ -530,8 +560,8 @@
     run(test())
 
 
-def test_a_timer_that_the_module_failed_on_comes_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a breaker that never updates again: its tick sets the next one itself."""
+def test_a_timer_that_the_policy_raised_on_is_set_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Otherwise a periodic update, which sets its next timer itself, would never run again."""
     monkeypatch.setattr("moleport.node.dispatcher.MENDED_AFTER", 1_000_000)
     failed: list[int] = []
 
@@ -560,7 +590,9 @@
             client.writer.write(request(kind, X_Request_Id="mine"))
             await until(lambda: server.seen)
             server.script = says(answer())
-            with socket.create_connection(rig.address) as again:  # no turn of the loop from here on
+            with socket.create_connection(
+                rig.address
+            ) as again:  # the loop does not run until the receive below
                 client.leave("reset")
                 again.sendall(request(kind, X_Request_Id="mine"))
                 again.setblocking(False)
@@ -571,18 +603,18 @@
 
 
 @pytest.mark.parametrize("used", [False, True])
-@pytest.mark.parametrize("how", ["evict", "thin out", "sweep", "stop"])
-def test_no_connection_is_closed_with_a_request_unread(
+@pytest.mark.parametrize("how", ["reclaim", "reclaim idle", "sweep", "stop"])
+def test_no_connection_with_an_unread_request_is_closed(
     how: str, used: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The front went by what it had read: a whole request that was with the kernel was reset unanswered."""
+    """A complete request that is still in the kernel must not be reset unanswered."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             if used:
                 assert status(await client.ask(request())) == 200
-            await until(lambda: rig.front.table.connections)
+            await until(lambda: rig.listener.table.connections)
             for name in (
                 "MIN_SILENT_SECONDS",
                 "MAX_NEW_SECONDS",
@@ -592,24 +624,25 @@
             ):
                 monkeypatch.setattr(connection_table, name, 0.0)
             own = client.writer.get_extra_info("socket")
-            assert os.write(own.fileno(), request())  # from here on the loop has no turn to read it
-            if how == "evict":
-                rig.front.table.reclaim_slot(connecting_count=0)
-            elif how == "thin out":
-                rig.front.table._reclaim_idle()
+            # The loop does not run to read it before the close below.
+            assert os.write(own.fileno(), request())
+            if how == "reclaim":
+                rig.listener.table.reclaim_slot(connecting_count=0)
+            elif how == "reclaim idle":
+                rig.listener.table._reclaim_idle()
             elif how == "sweep":
-                rig.front.table._sweep()
+                rig.listener.table._sweep()
             else:
-                rig.front.context.is_draining = True
-                rig.front.table.close_unused()
+                rig.listener.context.is_draining = True
+                rig.listener.table.close_unused()
             assert status(await client.read()) == 200
             assert len(server.seen) == 1 + used
 
     run(test())
 
 
-def test_clients_in_the_queue_of_a_full_table_are_served_before_the_end() -> None:
-    """The queue was given up, and reset, where the table had no place at that moment."""
+def test_clients_queued_at_a_full_table_are_served_before_the_shutdown_ends() -> None:
+    """The listening socket is not closed while clients wait to be accepted."""
     release = asyncio.Event()
 
     async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -618,13 +651,13 @@
 
     async def test() -> None:
         async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
-            rig.front.table.max_connections = 2
+            rig.listener.table.max_connections = 2
             clients = [await rig.client() for _ in range(5)]
             for client in clients:
                 client.writer.write(request("order"))
             await until(lambda: len(server.seen) == 2)
             stopping = asyncio.create_task(rig.shut_down(within=15.0))
-            await until(lambda: rig.front.context.is_draining)
+            await until(lambda: rig.listener.context.is_draining)
             release.set()
             assert [status(await client.read()) for client in clients] == [200] * 5
             for client in clients:
@@ -634,8 +667,8 @@
     run(test())
 
 
-def test_what_becomes_a_request_at_the_very_end_is_answered_at_once() -> None:
-    """It was sent on, and lost with the process."""
+def test_a_request_completed_at_the_end_of_a_shutdown_is_rejected() -> None:
+    """It would be forwarded, and lost with the process."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
@@ -643,7 +676,7 @@
             waits.writer.write(request("order"))
             data = request(body=b"text")
             late.writer.write(data[:-1])
-            await until(lambda: server.seen and rig.front.table._new)
+            await until(lambda: server.seen and rig.listener.table._new)
             rig.node.fail_all_requests()
             assert status(await waits.read()) == 504
             got = await late.ask(data[-1:])
@@ -662,15 +695,15 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
                 client.setblocking(False)
                 await loop.sock_connect(client, rig.address)
-                await until(lambda: rig.front.table.connections)
-                (connection,) = rig.front.table.connections
+                await until(lambda: rig.listener.table.connections)
+                (connection,) = rig.listener.table.connections
                 assert connection._transport is not None
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request())
                 await until(lambda: connection._slow_reader is not None)  # a part is out, the rest is not
                 stopping = asyncio.create_task(rig.shut_down(within=15.0))
-                await until(lambda: rig.front._socket is None)
+                await until(lambda: rig.listener._socket is None)
                 got = b""
                 while piece := await loop.sock_recv(client, 1 << 16):
                     got += piece
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -226,7 +226,7 @@
                     client = await rig.client()
                     assert status(await client.ask(request())) == 200
                     client.writer.close()
-                await until(lambda: not rig.front.table.connections and not rig.node._pools.sockets)
+                await until(lambda: not rig.listener.table.connections and not rig.node._pools.sockets)
                 await asyncio.sleep(0)
                 left = [type(one).__name__ for one in gc.get_objects()]
                 assert left.count("HttpRequestParser") == left.count("HttpResponseParser") == 0
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -33,7 +33,7 @@
 
 async def settled(rig: Rig) -> None:
     """Nothing is open, and what was written has arrived."""
-    await until(lambda: not rig.node._open and not rig.front.table.connections)
+    await until(lambda: not rig.node._open and not rig.listener.table.connections)
     await asyncio.sleep(0.05)
 
 
@@ -106,7 +106,7 @@
 
     async def test() -> None:
         async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
-            rig.front.table.max_connections = 1
+            rig.listener.table.max_connections = 1
             stays = connect(rig)
             stays.sendall(request())
             await until(lambda: server.seen)
@@ -136,7 +136,7 @@
             first.close()
             await settled(rig)  # its connection to the server stands
             clients = [connect(rig) for _ in range(20)]
-            await until(lambda: len(rig.front.table.connections) == len(clients))
+            await until(lambda: len(rig.listener.table.connections) == len(clients))
             await asyncio.sleep(0.1)
             for client in clients:
                 client.sendall(request("order", body=b"x"))
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -164,7 +164,7 @@
 
     async def test() -> None:
         async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
-            rig.front.table.max_connections = 1
+            rig.listener.table.max_connections = 1
             stays = await rig.client()
             stays.writer.write(request())
             await until(lambda: server.seen)
@@ -174,7 +174,7 @@
             late = await rig.client()
             late.writer.write(request(X_Deadline="400m"))
             await asyncio.sleep(0.1)
-            rig.front.table.max_connections = 9
+            rig.listener.table.max_connections = 9
             release.set()
             assert [status(await client.read()) for client in (stays, early, late)] == [200, 200, 200]
             told = sorted(told_ms(message) for message in server.seen[1:])
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -340,7 +340,7 @@
                 if how == "sending":
                     got = await client.read()
                     assert (status(got), got.headers["retry-after"]) == (503, "1.500")
-                await until(lambda: not rig.front.table.connections and not rig.node._open)
+                await until(lambda: not rig.listener.table.connections and not rig.node._open)
                 await until(lambda: rig.node._pools.sockets == 0)
                 assert [one.result for one in rig.spy.outcomes()] in (
                     [AttemptResult.NOT_SENT],
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -45,12 +45,12 @@
 UP = request(target="/up", method="GET")
 
 
-# The program, but with time enough after SIGTERM that a slow machine gives the same verdict.
+# The program, but it serves on for long enough after SIGTERM that a slow machine gives the same result.
 SLOWER = (
     "import sys, moleport.__main__ as program, moleport.node.graceful_shutdown as graceful_shutdown;"
     "graceful_shutdown.MIN_SERVE_ON_SECONDS = 2.0; sys.exit(program.main())"
 )
-# The program, but an agent that takes its time is waited for.
+# The program, but it waits for a slow agent.
 PATIENT = (
     "import sys, moleport.__main__ as program, moleport.node.discovery_watch as discovery;"
     "discovery.ANSWER = discovery.FIRST = 60.0; sys.exit(program.main())"
@@ -64,6 +64,7 @@
     command: Sequence[str] = (),
     **options: Any,
 ) -> asyncio.subprocess.Process:
+    """Start a node's process with the configuration file at `path`."""
     environment = {**env, "BALANCER_CONFIG": str(path)}
     program = command or [sys.executable, *(("-c", code) if code else ("-m", "moleport"))]
     return await asyncio.create_subprocess_exec(
@@ -72,16 +73,20 @@
 
 
 class Program:
+    """A node in a process of its own."""
+
     def __init__(self, process: asyncio.subprocess.Process, address: tuple[str, int]) -> None:
         self.process = process
         self.address = address
 
     async def client(self) -> Client:
+        """Connect a client to the node."""
         return Client(*await asyncio.open_connection(*self.address))
 
 
 @asynccontextmanager
 async def program(document: dict[str, Any], folder: Path, **options: Any) -> AsyncIterator[Program]:
+    """Start a node and wait until it listens; kill it at the end."""
     path = folder / "config.json"
     path.write_text(json.dumps(document))
     process = await start(path, **options)
@@ -97,9 +102,8 @@
         await process.wait()
 
 
-def test_the_build_leaves_bytecode_so_that_a_start_compiles_nothing(tmp_path: Path) -> None:
-    """The disk is read-only for a node: each start compiled all modules, and paid for it in CPU time with a
-    stop of 0.15 to 0.2 s just as the first clients came."""
+def test_the_build_compiles_all_modules(tmp_path: Path) -> None:
+    """The disk is read-only for a node: without bytecode each start would compile all modules."""
     for name in ("deploy", "moleport", "requirements.txt"):
         copy = shutil.copytree if (ROOT / name).is_dir() else shutil.copy
         copy(ROOT / name, tmp_path / name)
@@ -132,7 +136,8 @@
     assert not [path for path in loaded if not path.endswith(".pyc")]
 
 
-def test_sigterm_serves_on_then_finishes_what_is_held_and_ends_with_0(tmp_path: Path) -> None:
+def test_sigterm_serves_on_then_completes_what_is_in_flight(tmp_path: Path) -> None:
+    """`/up` answers 503 first, then connections are closed; the exit code is 0."""
     release = asyncio.Event()
 
     async def waits(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -224,9 +229,10 @@
         (400, 1000, 0.0, 1.0),
     ],
 )
-def test_after_sigterm_a_node_serves_on_as_long_as_it_can_still_answer_in_time(
+def test_the_shutdown_plan_leaves_time_for_the_longest_useful_request(
     aim_ms: int, deadline_ms: int, late: float, serve_on: float, tmp_path: Path
 ) -> None:
+    """A node serves on for as long as a new request can still be answered in time."""
     assert MIN_SERVE_ON_SECONDS > 0.4  # s: so long new connections go on coming
     document = configuration()
     document["settings"]["Grades"] = [grade("page", "once", deadline_ms, aim_ms) | {"LateShare": late}]
@@ -234,13 +240,12 @@
     path.write_text(json.dumps(document))
     plan = plan_shutdown(load({"BALANCER_CONFIG": str(path)}))
     assert plan.serve_on_s == pytest.approx(serve_on)
-    assert plan.finish_within_s == pytest.approx(
-        min(3.0, deadline_ms / 1000) + 0.4
-    )  # SIGKILL: 0.3 s later or more
+    # SIGKILL comes 0.3 s later or more.
+    assert plan.finish_within_s == pytest.approx(min(3.0, deadline_ms / 1000) + 0.4)
 
 
-def test_sighup_moves_the_watch_and_keeps_list_and_requests(tmp_path: Path) -> None:
-    """The environment goes on naming the old address; the file's is newer. A bad file changes nothing."""
+def test_sighup_moves_the_watch_and_keeps_endpoints_and_requests(tmp_path: Path) -> None:
+    """The environment still names the old address; the file is newer. An unusable file changes nothing."""
     release = asyncio.Event()
 
     async def waits(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -283,7 +288,8 @@
     run(test())
 
 
-def test_descriptors_stay_within_the_limit_and_all_are_served(tmp_path: Path) -> None:
+def test_descriptors_stay_within_the_limit_and_all_clients_are_answered(tmp_path: Path) -> None:
+    """Three times as many clients as descriptors are answered in turn."""
     most = 96
 
     def limit() -> None:
@@ -295,7 +301,7 @@
             document["limits"]["sockets"] = most
             async with program(document, tmp_path, preexec_fn=limit) as node:
                 clients = [await node.client() for _ in range(3 * most)]
-                served = await asyncio.gather(*(_served(node, client) for client in clients))
+                served = await asyncio.gather(*(_status_of_request(node, client) for client in clients))
                 assert set(served) <= {200, 503}  # the breaker refuses some of so many at once
                 assert len(server.seen) == served.count(200) > 0
                 assert len(os.listdir(f"/proc/{node.process.pid}/fd")) <= most
@@ -304,12 +310,13 @@
     run(test())
 
 
-async def _served(node: Program, client: Client) -> int:
-    """As clients do: where the node closes between requests, the request is sent anew on another one."""
-    return status(await _asked(node, request(), client))
+async def _status_of_request(node: Program, client: Client) -> int:
+    """Send a request as clients do, and return the status of its response."""
+    return status(await _ask_until_answered(node, request(), client))
 
 
-async def _asked(node: Program, data: bytes, client: Client | None = None) -> Message:
+async def _ask_until_answered(node: Program, data: bytes, client: Client | None = None) -> Message:
+    """Send a request; where the node closes the connection between requests, send it on a new one."""
     while True:
         try:
             client = client or await node.client()
@@ -318,8 +325,8 @@
             client = None
 
 
-def test_no_descriptor_left_neither_ends_the_node_nor_keeps_it_busy(tmp_path: Path) -> None:
-    """The process may hold fewer than it was told: what accept says then is no crash and no busy loop."""
+def test_running_out_of_descriptors_causes_no_crash_and_no_busy_loop(tmp_path: Path) -> None:
+    """The process may have fewer descriptors than its configuration says, so accept fails."""
 
     def limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (30, 30))
@@ -331,19 +338,19 @@
             before = _cpu(pid)
             await asyncio.sleep(0.5)
             assert _cpu(pid) - before < 0.4
-            served = await asyncio.gather(*(_served(node, client) for client in clients))
+            served = await asyncio.gather(*(_status_of_request(node, client) for client in clients))
             assert set(served) == {503}  # it knows no server
             assert node.process.returncode is None
 
     run(test())
 
 
-async def _idles(node: Program, asks: bool) -> None:
-    """Holds a connection, and another one as soon as the node ends it."""
+async def _stay_connected(node: Program, checks_readiness: bool) -> None:
+    """Hold an idle connection, and a new one as soon as the node ends it."""
     while True:
         with suppress(OSError):
             client = await node.client()
-            if asks:
+            if checks_readiness:
                 client.writer.write(UP)
             await client.ended()
             client.writer.close()
@@ -351,22 +358,24 @@
 
 
 def _queued(node: Program) -> int:
-    """Connections that wait in the kernel's queue for the node to accept them."""
+    """Return how many connections wait in the kernel's queue for the node to accept them."""
     port = f":{node.address[1]:04X}"
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return sum(int(row[4].split(":")[1], 16) for row in rows if row[1].endswith(port) and row[3] == "0A")
 
 
-def _descriptors_at_most(pid: int) -> int:
-    """A bound on how many the process ever had open at once: the kernel's table of them grows from 64 to 256
-    and by powers of two from there, and never shrinks."""
+def _max_open_descriptors(pid: int) -> int:
+    """Return an upper bound for how many descriptors the process ever had open at once.
+
+    The kernel's table of them grows from 64 to 256 and by powers of two from there, and never shrinks.
+    """
     (line,) = (one for one in Path(f"/proc/{pid}/status").read_text().splitlines() if "FDSize" in one)
     return int(line.split()[1])
 
 
 @pytest.fixture
 def many_descriptors() -> Iterator[None]:
-    """For the clients, and for a node that would take more than it was told of."""
+    """Allow many descriptors: for the clients, and for a node that exceeds its configured limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     yield
@@ -378,12 +387,14 @@
     ("sockets", "down"), [(256, b""), (1024, answer(503, b""))], ids=["256-silent", "1024-refuses"]
 )
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-def test_idle_clients_take_no_descriptor_from_the_watch_and_from_dials(
+def test_idle_clients_leave_descriptors_to_the_watch_and_to_server_connections(
     sockets: int, down: bytes, mode: str, tmp_path: Path
 ) -> None:
-    """They fill the table and wait in the listen queue, while discovery is silent or refuses; other clients
-    hold a third of the descriptors with requests. What discovery tells at its return counts as told after
-    6 s; with lists on request the pauses between calls had grown beyond that."""
+    """Idle clients fill the table and the accept queue while discovery is silent or rejects the watch.
+
+    Other clients hold a third of the descriptors with requests. What discovery sends once it is back counts
+    as notified after 6 s, and the backoff between polls must not exceed that.
+    """
     release = asyncio.Event()
 
     async def each(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -393,7 +404,7 @@
         writer.close()
 
     async def served(node: Program) -> None:
-        assert status(await _asked(node, request("order"))) == 200
+        assert status(await _ask_until_answered(node, request("order"))) == 200
 
     async def test() -> None:
         async with Discovery() as source, Server("s-1", each) as old, Server("s-2", each) as new:
@@ -401,7 +412,7 @@
             document["settings"]["MembershipMode"] = mode
             document["settings"]["Grades"] = [grade("order", "once", 60_000, 60_000)]
             document["limits"]["sockets"] = sockets
-            # Many servers at one address: the module lets in as much as they would carry.
+            # Many servers at one address: the balancer admits as much as they could serve.
             names = [f"{name}-{number}" for name in ("s-1", "s-2") for number in range(sockets // 8)]
             entries = [(old if name.startswith("s-1") else new).entry() | {"id": name} for name in names]
             document["known"]["servers"] = entries[: len(entries) // 2]
@@ -414,18 +425,18 @@
                     await until(lambda: len(old.seen) >= len(holders) - 20)  # the server's own queue is short
                 await until(lambda: len(old.seen) == len(holders))
                 crowd = max_client_connections(sockets) - len(holders) + 300
-                tasks = [asyncio.create_task(_idles(node, slot % 4 == 0)) for slot in range(crowd)]
+                tasks = [asyncio.create_task(_stay_connected(node, slot % 4 == 0)) for slot in range(crowd)]
                 await until(lambda: _queued(node) > 150)
                 for _ in range(3):
                     await served(node)
                 assert old.connections == len(old.seen) == len(holders) + 3
-                assert status(await _asked(node, UP)) == 200
-                await until(lambda: len(source.targets) > 3)  # the pauses have grown
+                assert status(await _ask_until_answered(node, UP)) == 200
+                await until(lambda: len(source.targets) > 3)  # the backoff has grown
                 await until(lambda: _queued(node) > 50)
                 for entry in entries[: len(entries) // 2]:
                     entry["state"] = "Terminating"
                 line = json.dumps({"version": 9, "full": False, "servers": entries}).encode() + b"\n"
-                source.reply = up + b"%x\r\n%s\r\n" % (len(line), line)  # told at once by each watch
+                source.reply = up + b"%x\r\n%s\r\n" % (len(line), line)  # sent at once on each watch
                 back = monotonic()
                 while not new.seen:
                     await served(node)
@@ -434,10 +445,10 @@
                 for _ in range(2):
                     await served(node)
                 assert (len(old.seen), len(new.seen)) == (seen, 3)
-                assert status(await _asked(node, UP)) == 200
+                assert status(await _ask_until_answered(node, UP)) == 200
                 release.set()
                 assert {status(await client.read()) for client in holders} == {200}
-                assert _descriptors_at_most(node.process.pid) <= sockets
+                assert _max_open_descriptors(node.process.pid) <= sockets
                 assert node.process.returncode is None
                 for task in tasks:
                     task.cancel()
@@ -451,7 +462,7 @@
 
 
 def _cpu(pid: int) -> float:
-    """Seconds that a process has used."""
+    """Return the CPU time of a process, in s."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -494,9 +505,10 @@
         (_with("203.0.113.9:1", "listen"), "BALANCER_LISTEN"),
     ],
 )
-def test_a_bad_configuration_is_one_line_that_names_the_key(
+def test_an_invalid_configuration_is_reported_in_one_line_that_names_the_key(
     change: Callable[[dict[str, Any]], None], named: str, tmp_path: Path
 ) -> None:
+    """The process ends with 2."""
     document = configuration()
     change(document)
     path = tmp_path / "config.json"
@@ -513,7 +525,8 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
-def test_a_configuration_file_that_is_none(text: str | None, tmp_path: Path) -> None:
+def test_a_missing_or_malformed_configuration_file_is_reported(text: str | None, tmp_path: Path) -> None:
+    """One line names BALANCER_CONFIG, and the process ends with 2."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -526,9 +539,8 @@
     run(test())
 
 
-def test_a_new_process_takes_no_clients_before_the_agent_has_told_what_it_holds(tmp_path: Path) -> None:
-    """It served from the list in its configuration: what the agent held by then counts as told from the
-    process's first moment, and the first requests went to servers that had drained before."""
+def test_a_new_process_accepts_no_clients_before_the_first_discovery_update(tmp_path: Path) -> None:
+    """The agent's list counts as notified from the start; the configured one may name drained servers."""
 
     async def test() -> None:
         async with Discovery() as source, Server("s-1") as gone, Server("s-2") as later:
@@ -559,7 +571,9 @@
     run(test())
 
 
-def test_a_new_process_serves_from_what_it_knew_where_the_agent_is_silent(tmp_path: Path) -> None:
+def test_a_new_process_serves_from_its_configured_list_if_the_agent_is_silent(tmp_path: Path) -> None:
+    """The wait for the first update is limited."""
+
     async def test() -> None:
         async with Discovery() as source, Server("s-1") as server:
             source.reply = b""
@@ -573,8 +587,8 @@
 
 
 @pytest.mark.parametrize("found", ["", "half", "gone"])
-def test_a_configuration_that_is_not_whole_yet_is_read_again(found: str, tmp_path: Path) -> None:
-    """It was read once, and given up for good: no watch was opened at the new agent."""
+def test_an_incomplete_configuration_file_is_read_again(found: str, tmp_path: Path) -> None:
+    """A file that is empty, half written or missing at SIGHUP is retried."""
 
     async def test() -> None:
         async with Discovery() as old, Discovery() as new, Server("s-1") as server:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""How soon nodes that restart together take clients, on few cores and whatever the agent does."""
+"""How soon nodes that restart together accept clients, on few cores and whatever the agent does."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
 from rig import Client, Server, configuration, read_message, request, run, status
 
 ROOT = Path(__file__).parent.parent
-NODES = 30
-CORES = 2  # that all nodes share
-MOST_WITHIN, ALL_WITHIN = 10.0, 30.0  # s from its start until a node is ready: nine in ten, and each
-LATE = 2.0  # s after the restart
-LOOK = 0.05  # s
-HEARTBEAT = 0.5  # s between the empty lines of a watch on which nothing changes
+NODES_COUNT = 30
+CORES_COUNT = 2  # that all nodes share
+# From its start until a node is ready: nine in ten, and each.
+NINE_IN_TEN_READY_SECONDS, ALL_READY_SECONDS = 10.0, 30.0
+AGENT_DELAY_SECONDS = 2.0  # after the restart, where the agent is late
+READY_CHECK_PERIOD_SECONDS = 0.05
+HEARTBEAT_SECONDS = 0.5  # between the empty lines of a watch without changes
 
 
 class Agent:
-    """Holds each watch open, and answers it at once while it is up. As long as it is not, all wait."""
+    """A discovery agent that keeps each watch open; it answers only while it is up."""
 
     def __init__(self, first: bytes) -> None:
         self.first = first
@@ -53,18 +54,20 @@
                 writer.write(b"%x\r\n%s\r\n" % (len(line), line))
                 line = b"\n"
                 with suppress(TimeoutError):
-                    await asyncio.wait_for(reader.read(), HEARTBEAT)
+                    await asyncio.wait_for(reader.read(), HEARTBEAT_SECONDS)
         writer.close()
 
 
 def pin() -> None:
-    """In the child alone."""
-    os.sched_setaffinity(0, sorted(os.sched_getaffinity(0))[-CORES:])
+    """Restrict the process to the shared cores; runs in the child."""
+    os.sched_setaffinity(0, sorted(os.sched_getaffinity(0))[-CORES_COUNT:])
 
 
 class Place:
-    """Where one node runs: its name and address stay the same, its process does not. An address of its own
-    on the loopback keeps the port free of all clients until the next process takes it."""
+    """A node whose name and address stay the same while its processes change.
+
+    On a loopback address of its own, no client can take its port while no process listens.
+    """
 
     def __init__(self, index: int, folder: Path, document: dict[str, Any]) -> None:
         self._folder = folder / f"n{index}"
@@ -79,6 +82,7 @@
         self._begun = 0.0
 
     async def start(self) -> None:
+        """Start a process of the node."""
         self._begun = asyncio.get_running_loop().time()
         with open(self._folder / "log", "ab") as log:
             self._process = await asyncio.create_subprocess_exec(
@@ -92,11 +96,11 @@
             )
 
     async def ready(self) -> float:
-        """Waits until `/up` says so; returns the seconds since the start."""
-        async with asyncio.timeout_at(self._begun + ALL_WITHIN):
+        """Wait until `/up` answers 200; return the time since the start, in s."""
+        async with asyncio.timeout_at(self._begun + ALL_READY_SECONDS):
             while not await self._is_up():
                 assert self._process.returncode is None, (self._folder / "log").read_text()
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(READY_CHECK_PERIOD_SECONDS)
         return asyncio.get_running_loop().time() - self._begun
 
     async def _is_up(self) -> bool:
@@ -112,6 +116,7 @@
             client.writer.close()
 
     async def end(self, number: signal.Signals) -> None:
+        """Send a signal to the process and wait for its end."""
         if self._process.returncode is None:
             self._process.send_signal(number)
         await self._process.wait()
@@ -119,7 +124,7 @@
 
 @asynccontextmanager
 async def places(many: int, folder: Path, document: dict[str, Any]) -> AsyncIterator[list[Place]]:
-    """Nodes that are ready for the first time."""
+    """Start nodes, wait until all are ready, and kill them at the end."""
     found = [Place(index, folder, document) for index in range(many)]
     started = []
     try:
@@ -134,12 +139,14 @@
 
 
 def pushed(agent: Agent, *servers: Server) -> dict[str, Any]:
+    """Return the configuration of a node to which the agent pushes endpoint lists."""
     document = configuration(*servers, discovery=agent.address)
     document["settings"]["MembershipMode"] = "pushed"
     return document
 
 
-def whole_list(*servers: Server) -> bytes:
+def complete_list(*servers: Server) -> bytes:
+    """Return a complete endpoint list, as a line of a watch."""
     entries = [server.entry() for server in servers]
     return json.dumps({"version": 9, "full": True, "servers": entries}).encode() + b"\n"
 
@@ -147,36 +154,40 @@
 @pytest.mark.parametrize(
     ("agent_is", "ended_by"), [("up", signal.SIGTERM), ("late", signal.SIGKILL), ("silent", signal.SIGKILL)]
 )
-def test_nodes_that_restart_together_are_ready_soon(
+def test_nodes_that_restart_together_are_ready_in_time(
     agent_is: str, ended_by: signal.Signals, tmp_path: Path
 ) -> None:
+    """Thirty nodes share two cores, and the agent is up, late or silent."""
+
     async def test() -> None:
-        async with Server("s-1") as server, Agent(whole_list(server)) as agent:
+        async with Server("s-1") as server, Agent(complete_list(server)) as agent:
             agent.up.set()
-            async with places(NODES, tmp_path, pushed(agent, server)) as nodes:
+            async with places(NODES_COUNT, tmp_path, pushed(agent, server)) as nodes:
                 await asyncio.gather(*(node.end(ended_by) for node in nodes))
                 if agent_is != "up":
                     agent.up.clear()
                 if agent_is == "late":
-                    asyncio.get_running_loop().call_later(LATE, agent.up.set)
+                    asyncio.get_running_loop().call_later(AGENT_DELAY_SECONDS, agent.up.set)
                 for node in nodes:
                     await node.start()
                 took = sorted(await asyncio.gather(*(node.ready() for node in nodes)))
-                print(f"agent {agent_is}: half ready in {took[NODES // 2]:.2f} s, all in {took[-1]:.2f} s")
-                assert sum(seconds <= MOST_WITHIN for seconds in took) >= 0.9 * NODES, took
-                assert took[-1] <= ALL_WITHIN
+                print(
+                    f"agent {agent_is}: half ready in {took[NODES_COUNT // 2]:.2f} s, all in {took[-1]:.2f} s"
+                )
+                ready_soon = sum(seconds <= NINE_IN_TEN_READY_SECONDS for seconds in took)
+                assert ready_soon >= 0.9 * NODES_COUNT, took
+                assert took[-1] <= ALL_READY_SECONDS
 
     run(test())
 
 
-def test_a_node_is_ready_where_the_agent_answers_and_has_nothing_to_tell(tmp_path: Path) -> None:
-    """What it knew is still the newest list, so the watch brings empty lines alone: it waited for the first
-    change, however late that came, and took no clients."""
+def test_a_node_is_ready_when_the_agent_has_no_changes(tmp_path: Path) -> None:
+    """Where the cached list is the newest, the watch brings empty lines only."""
 
     async def test() -> None:
         async with Server("s-1") as server, Agent(b"\n") as agent:
             agent.up.set()
             async with places(1, tmp_path, pushed(agent, server)) as (node,):
-                assert await node.ready() < ALL_WITHIN
+                assert await node.ready() < ALL_READY_SECONDS
 
     run(test())
