--- a/moleport/node/__init__.py
+++ b/moleport/node/__init__.py
@@ -1,1 +1,1 @@
-"""The node on its sockets: clients, servers and discovery."""
+"""The node: its sockets towards clients, servers and discovery, and the life of its process."""
