--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -32,7 +32,7 @@
 
 async def settled(rig: Rig) -> None:
     """Wait until no request is open, and what was written has arrived."""
-    await until(lambda: not rig.node.requests.active and not rig.front.table.connections)
+    await until(lambda: not rig.node.requests.active and not rig.listener.table.connections)
     await asyncio.sleep(0.05)
 
 
@@ -107,7 +107,7 @@
 
     async def test() -> None:
         async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
-            rig.front.table.max_connections = 1
+            rig.listener.table.max_connections = 1
             stays = connect(rig)
             stays.sendall(request())
             await until(lambda: server.seen)
@@ -137,7 +137,7 @@
             first.close()
             await settled(rig)  # its connection to the server is idle
             clients = [connect(rig) for _ in range(20)]
-            await until(lambda: len(rig.front.table.connections) == len(clients))
+            await until(lambda: len(rig.listener.table.connections) == len(clients))
             await asyncio.sleep(0.1)
             for client in clients:
                 client.sendall(request("order", body=b"x"))
--- a/tests/test_holds.py
+++ b/tests/test_holds.py
@@ -171,7 +171,7 @@
 
     async def test() -> None:
         async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
-            rig.front.table.max_connections = 1
+            rig.listener.table.max_connections = 1
             stays = await rig.client()
             stays.writer.write(request())
             await until(lambda: server.seen)
@@ -181,7 +181,7 @@
             second = await rig.client()
             second.writer.write(request(X_Deadline="400m"))
             await asyncio.sleep(0.1)
-            rig.front.table.max_connections = 9
+            rig.listener.table.max_connections = 9
             release.set()
             assert [status(await client.read()) for client in (stays, first, second)] == [200, 200, 200]
             stated_ms = sorted(stated_timeout_ms(message) for message in server.seen[1:])
