--- a/moleport/__main__.py
+++ b/moleport/__main__.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-import asyncio
 import gc
+
+gc.disable()  # Until the node is ready: imports and configuration create next to no garbage.
+
+import asyncio
 import logging
 import os
 import signal
@@ -39,6 +42,7 @@
         return UNUSABLE_CONFIG_EXIT_CODE
     # What exists by now stays: the collector need not visit it.
     gc.freeze()
+    gc.enable()
     log.info("serving on %s:%d", *address)
     await stop.wait()
     log.info("stopping")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import seed as hypothesis_seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from world import BASE, MS, Game, RuleBroken, settings
+from world import BASE, MS, Game, RuleBrokenError, settings
 
 from moleport.policy import Balancer
 from moleport.policy import interface as api
@@ -69,7 +69,7 @@
     for seed in range(games):
         try:
             Game(Balancer(rules, seed), rules, Random(seed)).play(steps=250)
-        except RuleBroken as broken:
+        except RuleBrokenError as broken:
             return str(broken).split(":")[0]
     return "none"
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -126,7 +126,7 @@
         return action.endpoint_id
 
 
-class RuleBroken(AssertionError):
+class RuleBrokenError(AssertionError):
     pass
 
 
@@ -198,7 +198,9 @@
         self._tell(request)
         taken = self.taken[request.id]
         if not taken.answered and not any(one.result is None for one in taken.tries) and not self.timers:
-            raise RuleBroken(f"lost: request {request.id} is neither out nor answered, and no timer is set")
+            raise RuleBrokenError(
+                f"lost: request {request.id} is neither out nor answered, and no timer is set"
+            )
 
     def _outstanding(self) -> list[tuple[_Taken, int]]:
         return [
@@ -324,7 +326,7 @@
         self._pass(DEADLINE_NS + MS)
         for taken in self.taken.values():
             if not taken.answered:
-                raise RuleBroken(f"lost: request {taken.request.id} was never answered")
+                raise RuleBrokenError(f"lost: request {taken.request.id} was never answered")
 
     # The rules' side.
 
@@ -336,13 +338,13 @@
             elif isinstance(action, api.WatchEndpoints):
                 self.asked += 1
                 if self.rules.discovery_mode is not api.DiscoveryMode.POLL:
-                    raise RuleBroken("malformed: a watch where the list is pushed")
+                    raise RuleBrokenError("malformed: a watch where the list is pushed")
             elif isinstance(action, api.CloseIdleConnections):
                 if action.endpoint_id not in self.listed:
-                    raise RuleBroken(f"malformed: {action} names a server never listed")
+                    raise RuleBrokenError(f"malformed: {action} names a server never listed")
             else:
                 if action.request_id not in self.taken:
-                    raise RuleBroken(f"malformed: {action} names an unknown request")
+                    raise RuleBrokenError(f"malformed: {action} names an unknown request")
                 if isinstance(action, api.Forward):
                     self._check_send(action)
                 else:
@@ -351,24 +353,24 @@
     def _check_overdue(self) -> None:
         for taken in self.taken.values():
             if not taken.answered and taken.streaming is None and self.now > taken.expires:
-                raise RuleBroken(f"lost: request {taken.request.id} is unanswered past its deadline")
+                raise RuleBrokenError(f"lost: request {taken.request.id} is unanswered past its deadline")
 
     def _check_send(self, send: api.Forward) -> None:
         taken = self.taken[send.request_id]
         if taken.answered:
-            raise RuleBroken(f"lost: {send} comes after the final answer")
+            raise RuleBrokenError(f"lost: {send} comes after the final answer")
         if send.endpoint_id not in self.listed:
-            raise RuleBroken(f"malformed: {send} goes to a server never listed")
+            raise RuleBrokenError(f"malformed: {send} goes to a server never listed")
         target = self.listed[send.endpoint_id]
         if send.endpoint_id in self.stopped and self.now > self.stopped[send.endpoint_id] + DRAIN_GRACE_NS:
-            raise RuleBroken(f"drain: {send} goes to a server told to be draining or gone")
+            raise RuleBrokenError(f"drain: {send} goes to a server told to be draining or gone")
         if len(taken.tries) >= self.rules.max_attempts:
-            raise RuleBroken(f"duplicate: {send} is one attempt too many")
+            raise RuleBrokenError(f"duplicate: {send} is one attempt too many")
         if any(one.result is None for one in taken.tries):
-            raise RuleBroken(f"duplicate: {send} is a second copy, which this module never sends")
+            raise RuleBrokenError(f"duplicate: {send} is a second copy, which this module never sends")
         for one in taken.tries:
             if one.result not in api.NOT_EXECUTED and not self._may_repeat(taken, one, target):
-                raise RuleBroken(f"duplicate: {send} though {one.server} may have run it")
+                raise RuleBrokenError(f"duplicate: {send} though {one.server} may have run it")
             keyed = (
                 one.result not in api.NOT_EXECUTED
                 and taken.kind.idempotency is api.Idempotency.IDEMPOTENCY_KEY
@@ -377,7 +379,7 @@
                 keyed
                 and not self.now < send.write_deadline_ns < one.sent + taken.kind.deduplication_window_ns
             ):
-                raise RuleBroken(f"duplicate: {send} may be written after {one.server} forgets its key")
+                raise RuleBrokenError(f"duplicate: {send} may be written after {one.server} forgets its key")
         taken.tries.append(_Try(target, self.now, send.timeout_ns))
         self._check_order(taken, send)
         self._check_cold(target)
@@ -391,9 +393,9 @@
                 return
             if earlier.kind.ordered_by_key and earlier.request.key == key:
                 if not earlier.answered or any(one.result is None for one in earlier.tries):
-                    raise RuleBroken(f"order: {send} while {earlier.request.id} of its key is not over")
+                    raise RuleBrokenError(f"order: {send} while {earlier.request.id} of its key is not over")
                 if self.now < earlier.rests_until:
-                    raise RuleBroken(f"order: {send} while its key rests after {earlier.request.id}")
+                    raise RuleBrokenError(f"order: {send} while its key rests after {earlier.request.id}")
 
     def _may_repeat(self, taken: _Taken, earlier: _Try, target: api.Endpoint) -> bool:
         kind = taken.kind
@@ -409,7 +411,7 @@
     def _check_answer(self, answer: api.Reject | api.Fail) -> None:
         taken = self.taken[answer.request_id]
         if taken.answered:
-            raise RuleBroken(f"lost: {answer} is a second final answer")
+            raise RuleBrokenError(f"lost: {answer} is a second final answer")
         taken.answered = True
         ran = [one for one in taken.tries if one.result not in api.NOT_EXECUTED]
         kind = taken.kind
@@ -420,9 +422,9 @@
         )
         if isinstance(answer, api.Reject):
             if not harmless:
-                raise RuleBroken(f"duplicate: {answer} though an attempt may have run")
+                raise RuleBrokenError(f"duplicate: {answer} though an attempt may have run")
             if answer.retry_after_ns > (self.rules.max_retry_after_ns if self.rules.sends_retry_after else 0):
-                raise RuleBroken(f"malformed: {answer} advises a wait that is not allowed")
+                raise RuleBrokenError(f"malformed: {answer} advises a wait that is not allowed")
 
     def _check_cold(self, target: api.Endpoint) -> None:
         """A budget for any window, by what the busiest warm server was sent in one of the same length."""
@@ -443,4 +445,4 @@
             if not entry.started_at_ns or self.now - entry.started_at_ns >= self.rules.slow_start_duration_ns:
                 most = max([most, *(sum(1 for x in sent if at - span < x <= at) for at in sent)])
         if recent > OVERLOAD_MULTIPLE * warmth * most + 3:  # two saved up and one earned
-            raise RuleBroken(f"cold: {recent} requests within {span} ns to {target}")
+            raise RuleBrokenError(f"cold: {recent} requests within {span} ns to {target}")
