--- a/tests/adapter/test_adapter.py
+++ b/tests/adapter/test_adapter.py
@@ -17,7 +17,7 @@
 from moleport.config.settings import SettingsError
 from moleport.policy import interface as api
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 CLOCK_NS = 8_418_000_000
 
 CONFIG = """\
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -41,7 +41,7 @@
 from moleport.node.graceful_shutdown import MIN_SERVE_ON_SECONDS, plan_shutdown
 from moleport.node.node_factory import max_client_connections
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 UP = request(target="/up", method="GET")
 
 
--- a/tests/node/test_readiness.py
+++ b/tests/node/test_readiness.py
@@ -16,7 +16,7 @@
 import pytest
 from rig import Client, Server, configuration, read_message, request, run, status
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 NODES_COUNT = 30
 CORES_COUNT = 2  # that all nodes share
 # From its start until a node is ready: nine in ten, and each.
--- a/tests/policy/test_candidates.py
+++ b/tests/policy/test_candidates.py
@@ -137,14 +137,18 @@
         "node.tell(delta(*(in_zones(n)._replace(weight=1 + n / 100) for n in range(200, 500))))\n"
         "print([node.serve(key) for key in range(1, 500)])\n"
     )
-    root = Path(__file__).parent.parent
+    root = Path(__file__).parents[2]
     outputs = [
         subprocess.run(
             [sys.executable, "-c", program],
             capture_output=True,
             check=True,
             text=True,
-            env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": f"{root}:{root / 'tests'}"},
+            env={
+                **os.environ,
+                "PYTHONHASHSEED": seed,
+                "PYTHONPATH": f"{root}:{root / 'tests'}:{root / 'tests' / 'policy'}",
+            },
         ).stdout
         for seed in ("1", "2")
     ]
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -4,12 +4,14 @@
 
 import subprocess
 import sys
+from pathlib import Path
 
 import pytest
-from test_process import ROOT
 
 from soak.oracle import Asked, Attempt, Record
 
+ROOT = Path(__file__).parents[2]
+
 
 def record(asked: Asked, *attempts: Attempt) -> Record:
     """Return the record of one request and its attempts."""
