--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -1,16 +1,18 @@
-"""Admission: the cap on requests in flight for each class, and which requests are shed.
+"""Admission: the cap on attempts in flight for each class, and which requests are rejected.
 
-The unit of a cap is requests in flight at this node, of all classes together. Each class's circuit breaker
-gives its threshold. The cap of a class is the lowest of
+The unit of a cap is attempts in flight at this node, of all classes together. Beyond the cap of a class, the
+requests of this class are rejected. Each class's circuit breaker gives its threshold, in the same unit. The
+cap of a class is the lowest of
 
 - its own threshold
 - the threshold of each class with more than HIGHER_PRIORITY_MULTIPLE times its priority
 - RESERVED_RATIO times the threshold of each class with more than MUCH_HIGHER_PRIORITY_MULTIPLE times its
   priority, so that the latter find capacity left
 
-times a brake of 2 * (1 - loss rate), at most 1, which lets overloaded endpoints recover where fewer than half
-of all attempts are answered. The priority of a class is its priority weight for a unit of work: divided by
-its typical response time, unless the settings' `weight_by_work` says that it already counts for work.
+times a loss factor of 2 * (1 - loss rate), at most 1, which lets overloaded endpoints recover where more than
+half of the attempts on fresh connections are lost. The priority of a class is its priority weight for a unit
+of work: divided by its typical response time, unless the settings' `weight_by_work` says that it already
+counts for work.
 
 A request is admitted below its class's cap. For one that its client marks as a retry, and for one beyond its
 tenant's quota, only a part of the cap counts. Regardless of the cap, MIN_IN_FLIGHT_REQUESTS of each class for
@@ -37,14 +39,14 @@
 from moleport.policy.slow_start import SlowStart
 from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
 
-INITIAL_IN_FLIGHT_REQUESTS = 10.0  # for each endpoint: the cap until the first window with samples
+INITIAL_IN_FLIGHT_REQUESTS = 10.0  # for each endpoint: the threshold until the first window with samples
 MIN_IN_FLIGHT_REQUESTS = 0.3  # for each endpoint, of one class
 HIGHER_PRIORITY_MULTIPLE = 1.2
 MUCH_HIGHER_PRIORITY_MULTIPLE = 2.0
 RESERVED_RATIO = 0.8
 CLIENT_RETRY_RATIO = 0.5  # a part of its latency objective has passed already
 OVER_QUOTA_RATIO = 0.5
-BRAKE_FACTOR = 2.0
+LOSS_FACTOR_MULTIPLE = 2.0
 TIMEOUT_SAMPLE_FACTOR = 2.0  # an attempt that timed out would have taken longer
 NEWEST_RESPONSE_TIME_RATIO = 0.05
 MAX_SAMPLED_WAITING_RATIO = 2.0  # a slower endpoint says nothing of the fleet's load
@@ -70,11 +72,11 @@
         self._deferred = deferred
         self._quotas = TenantQuotas(settings.tenants)
         self.in_flight = InFlight()
-        """Requests of all classes in flight."""
+        """Attempts of all classes in flight."""
         self.breakers = [CircuitBreaker(one.latency_objective_ns) for one in settings.classes]
         """By class index."""
         self.caps = [0.0] * len(settings.classes)
-        """By class index: requests in flight, of all classes, at which the class is shed."""
+        """By class index: attempts in flight, of all classes, at which requests of the class are rejected."""
 
     def admits(self, now_ns: int, request: api.Request) -> bool:
         """Return whether a request that has just arrived is admitted."""
@@ -128,7 +130,7 @@
         """Take the time of an attempt that has ended as a sample of its class.
 
         Not sampled are endpoints that are ejected, warming up or much slower than the others: their response
-        times would close the breaker for all. A rejection counts as far beyond the objective if it is final.
+        times would lower the cap for all. A rejection counts as far beyond the objective if it is final.
         """
         status = attempt.status
         if status.ejected_until_ns or self._slow_start.capacity_ratio(now_ns, status.endpoint) < 1.0:
@@ -149,21 +151,21 @@
     def end_window(self, now_ns: int) -> None:
         """Update all breakers and caps from the samples of the window that ends."""
         self.in_flight.add(now_ns, 0)
-        initial_cap = self.initial_cap()
+        initial_threshold = self.initial_threshold()
         is_fleet_idle = self._load_reports.is_fleet_idle(len(self._endpoints.ready))
         for breaker in self.breakers:
-            breaker.end_window(self.in_flight.mean, initial_cap, is_fleet_idle)
+            breaker.end_window(self.in_flight.mean, initial_threshold, is_fleet_idle)
         self.update_caps()
 
-    def initial_cap(self) -> float:
-        """Return the threshold of a class without samples, in requests in flight at this node."""
+    def initial_threshold(self) -> float:
+        """Return the threshold of a class without samples, in attempts in flight at this node."""
         return INITIAL_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
 
     def update_caps(self) -> None:
         """Update the caps from the thresholds; due after each window and each change of the endpoints."""
-        brake = min(1.0, BRAKE_FACTOR * (1.0 - self._connections.loss_rate))
-        initial_cap = self.initial_cap()
-        thresholds = [breaker.threshold(initial_cap) for breaker in self.breakers]
+        loss_factor = min(1.0, LOSS_FACTOR_MULTIPLE * (1.0 - self._connections.loss_rate))
+        initial_threshold = self.initial_threshold()
+        thresholds = [breaker.threshold(initial_threshold) for breaker in self.breakers]
         priorities = [self.priority(index) for index in range(len(thresholds))]
         # By falling priority, with the lowest threshold so far: comparing all pairs costs too much.
         order = sorted(range(len(priorities)), key=priorities.__getitem__, reverse=True)
@@ -176,7 +178,7 @@
             much_higher_count = bisect_left(negated, -MUCH_HIGHER_PRIORITY_MULTIPLE * priorities[index])
             if much_higher_count:
                 cap = min(cap, RESERVED_RATIO * lowest[much_higher_count - 1])
-            self.caps[index] = brake * cap
+            self.caps[index] = loss_factor * cap
 
     def priority(self, class_index: int) -> float:
         """Return the priority weight of a class for a unit of work."""
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -1,9 +1,14 @@
 """Routes the events of interface.py to the rules, and wires the rules together; holds no rule itself.
 
-- Arrival of a request: admission (circuit_breaker, quotas), then key_ordering or at once selection
-- End of an attempt: connection_health, load_reports, rejection_rates, outlier_detection; then retries, and
-  final_answers where no retry is allowed
-- Update of the endpoint list: endpoint_registry, slow_start; discovery_polling decides when to ask for it
+- Arrival of a request: slow_start and hot_keys count it; admission (quotas, circuit_breaker); then
+  key_ordering or at once selection; final_answers where it is rejected
+- Start of an attempt: connection_health, outlier_detection, slow_start, admission
+- End of an attempt: key_ordering (cooldown), connection_health, load_reports and slow_start, admission,
+  rejection_rates, outlier_detection; then retries and selection, admission (sample of the response time),
+  final_answers where no retry is allowed, and key_ordering (next request of the key)
+- Update of the endpoint list: discovery_polling (which also decides when to poll), endpoint_registry,
+  admission, slow_start
+- Disconnection of a client: final_answers, key_ordering
 - End of a window: admission, rejection_rates, hot_keys, hardware_types and slow_start update their rates
 
 What may be sent twice is decided by ActiveRequest in state.py.
@@ -127,6 +132,7 @@
         self._key_ordering.cool_down(now_ns, active, outcome.result)
         is_conclusive = self._is_conclusive(now_ns, active, attempt, outcome)
         class_index = active.request.class_index
+        # The order matters: admission reads ejected_until_ns before outlier detection changes it.
         self._admission.on_attempt_ended(now_ns, class_index, attempt, outcome.elapsed_ns)
         shown = outcome.result if is_conclusive else AttemptResult.CANCELLED
         self._record_result(now_ns, attempt.status, shown, class_index)
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """The threshold of one class, in requests in flight at this node."""
+    """The threshold of one class, in attempts in flight at this node, of all classes."""
 
     latency_objective_ns: int
     target_ns: float = 0.0
@@ -91,13 +91,13 @@
         self.target_ns = TARGET_RATIO * self.latency_objective_ns
         self.typical_ns = float(self.latency_objective_ns)
 
-    def threshold(self, initial_cap: float) -> float:
-        """Return how many requests in flight meet the target; the initial cap until that is known."""
+    def threshold(self, initial_threshold: float) -> float:
+        """Return how many requests in flight meet the target; the initial threshold until that is known."""
         if not self.ns_per_request:
-            return initial_cap
+            return initial_threshold
         return max(self.target_ns / self.ns_per_request, PROVEN_RATIO * self.proven_in_flight)
 
-    def end_window(self, mean_in_flight: float, initial_cap: float, is_fleet_idle: bool) -> None:
+    def end_window(self, mean_in_flight: float, initial_threshold: float, is_fleet_idle: bool) -> None:
         """Update the threshold from the samples of the window that ends."""
         if self.samples_ns and mean_in_flight:
             self.samples_ns.sort()
@@ -105,7 +105,7 @@
             median_ns = self.samples_ns[len(self.samples_ns) // 2]
             self.typical_ns += (1 - SMOOTHING_FACTOR) * (median_ns - self.typical_ns)
             self._update_target(tail_ns, is_fleet_idle)
-            self._update_threshold(tail_ns, mean_in_flight, initial_cap)
+            self._update_threshold(tail_ns, mean_in_flight, initial_threshold)
         self.samples_ns.clear()
 
     def _update_target(self, tail_ns: float, is_fleet_idle: bool) -> None:
@@ -118,12 +118,12 @@
         reachable_ns = max(min_target_ns, HEADROOM_FACTOR * self.unloaded_tail_ns)
         self.target_ns = min(self.latency_objective_ns, reachable_ns)
 
-    def _update_threshold(self, tail_ns: float, mean_in_flight: float, initial_cap: float) -> None:
+    def _update_threshold(self, tail_ns: float, mean_in_flight: float, initial_threshold: float) -> None:
         is_within_target = tail_ns <= self.target_ns
         carried = mean_in_flight if is_within_target else 0.0
         self.proven_in_flight = max(PROVEN_DECAY_FACTOR * self.proven_in_flight, carried)
         window = tail_ns / mean_in_flight
-        if is_within_target and self.target_ns / window <= self.threshold(initial_cap):
+        if is_within_target and self.target_ns / window <= self.threshold(initial_threshold):
             return
-        before = self.ns_per_request or self.target_ns / max(1.0, initial_cap)
+        before = self.ns_per_request or self.target_ns / max(1.0, initial_threshold)
         self.ns_per_request = SMOOTHING_FACTOR * before + (1 - SMOOTHING_FACTOR) * window
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -2,10 +2,13 @@
 
 Three rates are kept as exponentially weighted means over this node's attempts, all endpoints together:
 
-- `loss_rate`: attempts on fresh connections (new, or idle for at most MAX_FRESH_IDLE_NS) without an answer
-- the idle loss rate: attempts on connections that had been idle for longer, without an answer
+- `loss_rate`: lost attempts on fresh connections (new, or idle for at most MAX_FRESH_IDLE_NS)
+- the idle loss rate: lost attempts on connections that had been idle for longer
 - `connect_failure_rate`: new connections that failed
 
+An attempt is lost if it ended with RESET or TIMEOUT. CANCELLED and CONNECT_FAILED count as not lost, like an
+answer; NOT_SENT changes no rate.
+
 An attempt lost on an idle connection while the idle loss rate is at least MIN_IDLE_LOSS_RATE and
 IDLE_LOSS_MULTIPLE times the loss rate shows that idle connections are dropped unnoticed. Then only those are
 used that were idle for at most half of its idle time; the bound doubles each TRUST_DOUBLING_NS, up to the
@@ -26,7 +29,7 @@
 MAX_FRESH_IDLE_NS = 250_000_000  # a connection that idled for less is as good as a new one
 NEWEST_LOSS_RATIO = 0.2
 NEWEST_IDLE_TIMEOUT_RATIO = 0.05  # a time-out is weaker evidence of a dropped connection than a reset
-MIN_IDLE_LOSS_RATE = 0.3  # two resets in a row, or eight time-outs
+MIN_IDLE_LOSS_RATE = 0.3  # two resets in a row, or seven time-outs
 IDLE_LOSS_MULTIPLE = 2.0
 TRUST_DOUBLING_NS = 10_000_000_000
 MAX_TRUST_DOUBLINGS = 32.0
@@ -51,6 +54,7 @@
         """Return the idle time in ns of the connection that an attempt would use; 0: a new one."""
         if not status.idle_since_ns:
             return 0
+        # At least 1, also for a connection that became idle just now: 0 stands for a new connection.
         idle_ns = now_ns - status.idle_since_ns[-1] + 1
         max_idle_ns = self._max_idle_ns(now_ns) if self._distrusted_at_ns else self._idle_timeout_ns
         return idle_ns if idle_ns <= max_idle_ns else 0
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -1,4 +1,9 @@
-"""Detection of hot keys: those that are more than one endpoint's work, by this node's own requests."""
+"""Detection of hot keys, by this node's own requests.
+
+A key is hot if it has more than HOT_LOAD_RATIO of an endpoint's mean share of the remembered requests, and at
+least MIN_HOT_REQUESTS. Selection starts at a random one of `fan_out` positions of the key's sequence and
+compares two endpoints, so that the key reaches up to `fan_out + 1` endpoints.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +11,7 @@
 from math import ceil
 
 HOT_LOAD_RATIO = 0.5
-"""A key above this multiple of an endpoint's mean load is spread over more than the usual two endpoints."""
+"""A key above this part of an endpoint's mean share is spread over more than the usual two endpoints."""
 MIN_HOT_REQUESTS = 2
 MEMORY_REQUESTS = 6.0
 """Requests that are remembered for each endpoint; older ones decay."""
@@ -17,7 +22,7 @@
 
 
 class HotKeyTracker:
-    """Decayed request counts by key, and the number of endpoints that each hot key is spread over.
+    """Decayed request counts by key, and the number of start positions of each hot key.
 
     Counts are kept by forward decay (Cormode, Shkapenyuk, Srivastava and Xu, ICDE 2009): the weight of a new
     request grows instead of all older counts shrinking, so a key without requests costs nothing.
@@ -25,7 +30,7 @@
 
     def __init__(self) -> None:
         """Start without any requests."""
-        self.fan_out: dict[int, int] = {}  # by hot key: endpoints that it is spread over
+        self.fan_out: dict[int, int] = {}  # by hot key: start positions, one less than its endpoints
         self._counts: dict[int, float] = {}  # by key; times the scale, as all counts below
         self._scale = 1.0  # weight of a new request
         self._total = 0.0
@@ -57,7 +62,7 @@
             self._reset_scale()
 
     def _update_fan_out(self, endpoint_count: int, total: float) -> None:
-        """Spread each hot key over as many endpoints as its requests are the work of, and one more."""
+        """Give each hot key a start position for each HOT_LOAD_RATIO of a mean share, and one more."""
         hot_above = HOT_LOAD_RATIO * total / max(1, endpoint_count)
         fan_out: dict[int, int] = {}
         for key in {**self.fan_out, **self._repeated_keys}:
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -38,7 +38,7 @@
     PUSH = "push"
     """The watch is kept open without the module's help."""
     POLL = "poll"
-    """The module decides when to ask for the list, by `WatchEndpoints`."""
+    """The module decides when to poll for the list, by `WatchEndpoints`."""
 
 
 class EndpointUpdateKind(Enum):
@@ -51,7 +51,7 @@
     DELTA = "delta"
     """Changed entries only."""
     FAILED = "failed"
-    """No entries: a call or a watch failed, or the watch broke."""
+    """No entries: a poll or a watch failed, or the watch broke."""
 
 
 class EndpointState(Enum):
@@ -73,7 +73,7 @@
     """The endpoint turned the request away unexecuted: overloaded or draining."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    """The connection was refused, never came up, or broke before the request was written."""
+    """The connection was refused, never came up, or broke before the request's last byte was written."""
     RESET = "reset"
     """The connection broke after the request was written."""
     CANCELLED = "cancelled"
@@ -87,7 +87,10 @@
 """Results that prove that the attempt had no effect."""
 
 DEFAULT_OVERLOAD_MULTIPLE = 2.0
-"""Of an endpoint's present capacity: where the settings tell none, it can't be sent more for long."""
+"""Used if the settings have no overload_multiple.
+
+A load above this multiple of present capacity makes an endpoint collapse.
+"""
 
 
 class TimerId(IntEnum):
@@ -96,7 +99,7 @@
     UPDATE = 1
     """End of a measurement window."""
     POLL = 2
-    """Time to ask discovery for the endpoint list."""
+    """Time to poll discovery for the endpoint list."""
     DEFERRED = 3
     """Something that was put off has fallen due."""
 
@@ -157,7 +160,7 @@
     """Nodes that share the endpoints."""
     discovery_mode: DiscoveryMode
     poll_interval_ns: int
-    """With polling: the list is asked for at least this often while no watch stands."""
+    """With polling: the list is polled at least this often while no watch stands."""
     slow_start_initial_ratio: float
     """Part of its capacity that an endpoint has at least right after its start, 0 to 1."""
     slow_start_duration_ns: int
@@ -173,7 +176,7 @@
     load_report_fields: tuple[str, ...]
     """Names of the figures in an endpoint's load report, in their order."""
     idle_timeout_ns: int = 0
-    """An endpoint closes a connection that has been idle for this long."""
+    """An endpoint closes a connection that has been idle for this long; 0: none is reused."""
     key_cooldown_ns: int = 0
     """Ordered keys: the pause after an attempt that may still be running."""
     zone: int | None = None
@@ -253,7 +256,10 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """Event: nothing further may be sent for this client's request."""
+    """Event: nothing further may be sent for this client's request.
+
+    Also sent when the node itself ends the request: at its deadline, at shutdown or after a fault.
+    """
 
     request_id: int
     is_half_closed: bool = False
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -1,21 +1,27 @@
 """Ejection of endpoints that fail more than the others, and their reinstatement by a trial.
 
-Each endpoint has a failure rate, an exponentially weighted mean over its attempts: 0 for a success and 1 for
-an error, a time-out, a reset or a failed connection. The weight of the newest outcome is
+Each endpoint has a failure rate, an exponentially weighted mean over its attempts: 0 for a success (OK) and 1
+for an error, a time-out, a reset or a failed connection. The weight of the newest outcome is
 
-- NEWEST_OUTCOME_RATIO, so that two failures in a row eject
-- NEWEST_LOSS_RATIO for a time-out or a reset of an endpoint that answered within RECENT_ANSWER_NS
-- NEWEST_RARE_OUTCOME_RATIO where it has not answered for MAX_SILENCE_NS, so that one failure ejects and one
-  success clears: a node that sends it few requests can't wait for a second one
+- NEWEST_OUTCOME_RATIO for a success and, unless one of the next lines applies, for a failure: two failures in
+  a row eject
+- NEWEST_LOSS_RATIO for a time-out or a reset of an endpoint with a success within RECENT_SUCCESS_NS
+- NEWEST_RARE_OUTCOME_RATIO for an error, a time-out or a reset of one without a success for MAX_SILENCE_NS:
+  one failure ejects, as a node that sends it few requests can't wait for a second one
+
+A success lowers the failure rate, but a single one never brings it to 0, except as a trial.
 
 A failure ejects the endpoint if its failure rate is at least EJECTION_FAILURE_RATE and, unless the connection
 failed, OUTLIER_MULTIPLE times the rate of the whole fleet. At most MAX_EJECTED_RATIO of the ready endpoints
 are ejected at once, or MAX_UNREACHABLE_RATIO where connections fail; at this limit, one that fails much more
-replaces the ejected one with the lowest failure rate. A failed connection does not count while the endpoint
-answers on other connections.
+replaces the ejected one with the lowest failure rate. So a fleet of fewer than four ready endpoints ejects
+only for failed connections. A failed connection does not count if the endpoint has had a success within
+MAX_SILENCE_NS.
 
-    ejection = max(EJECTION_NS * 2 ** failed trials, min(silence, MAX_SILENCE_EJECTION_NS)) * uniform(0.5, 1)
+    doublings = min(failed trials, MAX_EJECTION_DOUBLINGS)
+    ejection = max(EJECTION_NS * 2 ** doublings, min(silence, MAX_SILENCE_EJECTION_NS)) * uniform(0.5, 1)
 
+This is 1 s to 32 s; `silence` is the time without a success since the endpoint was listed.
 After that time one attempt is its trial: a success reinstates the endpoint, a failure ejects it again. See
 Envoy's outlier detection for the general mechanism.
 
@@ -37,7 +43,7 @@
 NEWEST_LOSS_RATIO = 0.15
 NEWEST_RARE_OUTCOME_RATIO = 0.5
 NEWEST_FLEET_OUTCOME_RATIO = 0.02
-RECENT_ANSWER_NS = 500_000_000
+RECENT_SUCCESS_NS = 500_000_000
 MAX_SILENCE_NS = 2_000_000_000
 EJECTION_FAILURE_RATE = 0.5
 OUTLIER_MULTIPLE = 2.5  # what fails everywhere is no endpoint's fault
@@ -87,9 +93,9 @@
         if result in NOT_COUNTED:
             return
         if result is AttemptResult.OK:
-            status.answered_at_ns = now_ns
-        elif result is AttemptResult.CONNECT_FAILED and now_ns - status.answered_at_ns < MAX_SILENCE_NS:
-            return  # it answers on other connections
+            status.succeeded_at_ns = now_ns
+        elif result is AttemptResult.CONNECT_FAILED and now_ns - status.succeeded_at_ns < MAX_SILENCE_NS:
+            return  # it has succeeded lately on other connections
         is_failed = result is not AttemptResult.OK
         weight = self._outcome_weight(now_ns, status, result)
         status.failure_rate += weight * (is_failed - status.failure_rate)
@@ -150,7 +156,7 @@
 
     def _outcome_weight(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> float:
         is_lost = result in (AttemptResult.TIMEOUT, AttemptResult.RESET)
-        if is_lost and now_ns - status.answered_at_ns < RECENT_ANSWER_NS:
+        if is_lost and now_ns - status.succeeded_at_ns < RECENT_SUCCESS_NS:
             return NEWEST_LOSS_RATIO
         is_silent = status.silence_ns(now_ns) >= MAX_SILENCE_NS
         if is_silent and result is not AttemptResult.CONNECT_FAILED:
--- a/moleport/policy/quotas.py
+++ b/moleport/policy/quotas.py
@@ -4,7 +4,7 @@
 tenant. Each one therefore earns q / (1 - q) * QUOTA_SLACK_FACTOR tokens, up to QUOTA_BURST_REQUESTS, and each
 request within the quota takes one. Neither the part of the total traffic that this node carries nor the
 tenant's own arrivals change the comparison. A request beyond the quota is not rejected for it alone:
-admission applies a lower concurrency cap to it.
+admission applies only a part of the cap of its class to it.
 
 Failure that this is for: a burst of one tenant's requests that crowds out those of the other tenants.
 """
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -12,7 +12,12 @@
 up to MAX_TOKEN_COUNT, and each attempt takes one. `warm_request_rate` is what warm endpoints answer for one
 unit of weight, a mean over windows that falls slowly (RATE_DECAY_FACTOR). While no endpoint has been seen
 warm, the arrivals of this node, spread evenly over the weight of all ready endpoints, stand in for it. A new
-bucket holds a random part of a token, so that the nodes' first requests do not come together.
+bucket holds
+
+    max(uniform(0, 1) + CAPACITY_MARGIN_RATIO * min(1, capacity_ratio) * burst_ratio,
+        min(1, FLEET_INITIAL_TOKEN_COUNT / node_count))
+
+tokens: random, so that the nodes' first requests do not come together, and at least min(1, 3 / node_count).
 
 When other endpoints are lost, each remaining one is selected more often, and the tokens that all nodes have
 saved could be spent at once. Then only the part `burst_ratio` of the selections may spend them:
--- a/moleport/policy/state.py
+++ b/moleport/policy/state.py
@@ -1,6 +1,7 @@
 """State that several rules share: an endpoint's status, a request and its attempts.
 
-Each field names its owner, the one module that writes it; the other rules only read it.
+Each field names its owner, the module that writes it; the other rules only read it. One field has a second
+writer: final_answers also sets `ActiveRequest.is_closed`.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
     """Mean of its response times over the typical one of their class. Owner: admission."""
     waiting_time_ratio: float = 1.0
     """The same, with the time waited for attempts that timed out. Owner: admission."""
-    answered_at_ns: int = 0
+    succeeded_at_ns: int = 0
     """When it last answered a request with success. Owner: outlier_detection."""
     listed_at_ns: int = 0
     """When this node was notified of it, or of its last start. Owner: endpoint_registry."""
@@ -54,7 +55,7 @@
 
     def silence_ns(self, now_ns: int) -> int:
         """Return the time without a successful answer since the endpoint was listed, in ns."""
-        return now_ns - max(self.answered_at_ns, self.listed_at_ns)
+        return now_ns - max(self.succeeded_at_ns, self.listed_at_ns)
 
     def reset_failures(self) -> None:
         """Forget all failures and end any ejection."""
@@ -89,7 +90,7 @@
     """Time after which an answer has no value, so that none is waited for."""
     attempts: list[Attempt] = field(default_factory=list)
     is_closed: bool = False
-    """The client has its final answer or has disconnected."""
+    """The client has its final answer or has disconnected. Owners: balancer, final_answers."""
 
     def is_complete(self) -> bool:
         """Return whether the request is closed and has no attempt in flight."""
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -488,7 +488,7 @@
     node.wait(3 * SECOND)
     (trial,) = node.ask(2, 42)
     assert isinstance(trial, api.Forward) and trial.endpoint_id == home and status.is_on_trial
-    status.answered_at_ns = node.now  # by another attempt
+    status.succeeded_at_ns = node.now  # by another attempt
     node.end(trial, AttemptResult.CONNECT_FAILED)
     assert node.serve(42) == home
 
@@ -545,7 +545,7 @@
         node.balancer._endpoints.by_id[name] for name in sorted(node.balancer._endpoints.by_id)
     ][:3]
     for status in (milder, mild):
-        status.answered_at_ns = node.now
+        status.succeeded_at_ns = node.now
         while not status.ejected_until_ns:
             node.balancer._record_result(node.now, status, AttemptResult.TIMEOUT, 0)
     mild.failure_rate += 0.1
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -117,12 +117,12 @@
 def test_the_policy_assumes_the_timeouts_of_the_watch() -> None:
     """The policy bounds its polling delays by the longest call and the longest silence."""
     longest_call_s = max(discovery.SHARED_RESPONSE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S)
-    assert longest_call_s * 1e9 <= discovery_polling.CALL_TIMEOUT_NS
+    assert longest_call_s * 1e9 <= discovery_polling.POLL_TIMEOUT_NS
     assert discovery.LINE_TIMEOUT_S * 1e9 <= discovery_polling.WATCH_SILENCE_NS
     assert (
         discovery_polling.WATCH_SILENCE_NS
         + discovery_polling.MIN_BACKOFF_NS
-        + discovery_polling.CALL_TIMEOUT_NS
+        + discovery_polling.POLL_TIMEOUT_NS
         <= discovery_polling.NOTIFICATION_LIMIT_NS
         < 6e9
     )
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -213,7 +213,7 @@
         breaker.ns_per_request = random.choice((0.0, 1e8, 3e8))
     balancer._admission.update_caps()
     thresholds = [
-        breaker.threshold(balancer._admission.initial_cap()) for breaker in balancer._admission.breakers
+        breaker.threshold(balancer._admission.initial_threshold()) for breaker in balancer._admission.breakers
     ]
     for index, cap in enumerate(balancer._admission.caps):
         own = balancer._admission.priority(index)
