--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -47,8 +47,8 @@
 CLIENT_RETRY_RATIO = 0.5  # a part of its latency objective has passed already
 OVER_QUOTA_RATIO = 0.5
 LOSS_FACTOR_MULTIPLE = 2.0
-TIMEOUT_SAMPLE_FACTOR = 2.0  # an attempt that timed out would have taken longer
-NEWEST_RESPONSE_TIME_RATIO = 0.05
+FAILED_SAMPLE_FACTOR = 2.0  # of the elapsed time after a time-out, of the objective after a rejection
+RESPONSE_TIME_EWMA_WEIGHT = 0.05
 MAX_SAMPLED_WAITING_RATIO = 2.0  # a slower endpoint says nothing of the fleet's load
 
 
@@ -87,10 +87,10 @@
 
     def has_capacity(self, now_ns: int, class_index: int, cap_ratio: float = 1.0) -> bool:
         """Return whether one more request of the class fits under this part of its cap."""
-        if self.in_flight.is_below(now_ns, cap_ratio * self.caps[class_index]):
+        if self.in_flight.update_and_check(now_ns, cap_ratio * self.caps[class_index]):
             return True
         min_in_flight = MIN_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
-        return self.breakers[class_index].in_flight.is_below(now_ns, min_in_flight)
+        return self.breakers[class_index].in_flight.update_and_check(now_ns, min_in_flight)
 
     def on_attempt_sent(self, now_ns: int, class_index: int, status: EndpointStatus) -> None:
         """Count an attempt as in flight."""
@@ -137,24 +137,24 @@
             return
         breaker = self.breakers[active.request.class_index]
         if attempt.result is AttemptResult.REJECTED and not is_retried:
-            breaker.samples_ns.append(TIMEOUT_SAMPLE_FACTOR * breaker.latency_objective_ns)
+            breaker.samples_ns.append(FAILED_SAMPLE_FACTOR * breaker.latency_objective_ns)
         if attempt.result not in (AttemptResult.OK, AttemptResult.TIMEOUT):
             return
         is_answered = attempt.result is AttemptResult.OK
         ratio = elapsed_ns / breaker.typical_ns
-        status.waiting_time_ratio += NEWEST_RESPONSE_TIME_RATIO * (ratio - status.waiting_time_ratio)
+        status.waiting_time_ratio += RESPONSE_TIME_EWMA_WEIGHT * (ratio - status.waiting_time_ratio)
         if is_answered:
-            status.response_time_ratio += NEWEST_RESPONSE_TIME_RATIO * (ratio - status.response_time_ratio)
+            status.response_time_ratio += RESPONSE_TIME_EWMA_WEIGHT * (ratio - status.response_time_ratio)
         if status.waiting_time_ratio < MAX_SAMPLED_WAITING_RATIO:
-            breaker.samples_ns.append(elapsed_ns if is_answered else TIMEOUT_SAMPLE_FACTOR * elapsed_ns)
+            breaker.samples_ns.append(elapsed_ns if is_answered else FAILED_SAMPLE_FACTOR * elapsed_ns)
 
     def end_window(self, now_ns: int) -> None:
         """Update all breakers and caps from the samples of the window that ends."""
         self.in_flight.add(now_ns, 0)
         initial_threshold = self.initial_threshold()
-        is_fleet_idle = self._load_reports.is_fleet_idle(len(self._endpoints.ready))
+        has_headroom = self._load_reports.has_headroom(len(self._endpoints.ready))
         for breaker in self.breakers:
-            breaker.end_window(self.in_flight.mean, initial_threshold, is_fleet_idle)
+            breaker.end_window(self.in_flight.mean, initial_threshold, has_headroom)
         self.update_caps()
 
     def initial_threshold(self) -> float:
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -87,7 +87,7 @@
         """
         self._actions.pending = []
         window_ends_ns = now_ns + jittered_ns(self._random, WINDOW_NS, 0.0)
-        self._actions.emit(api.SetTimer(window_ends_ns, TimerId.UPDATE))
+        self._actions.emit(api.SetTimer(window_ends_ns, TimerId.WINDOW_END))
         self._poller.start(now_ns)
         return self._actions.pending
 
@@ -130,7 +130,7 @@
             return
         attempt.result = outcome.result
         self._key_ordering.cool_down(now_ns, active, outcome.result)
-        is_conclusive = self._is_conclusive(now_ns, active, attempt, outcome)
+        is_conclusive = self._record_evidence(now_ns, active, attempt, outcome)
         class_index = active.request.class_index
         # The order matters: admission reads ejected_until_ns before outlier detection changes it.
         self._admission.on_attempt_ended(now_ns, class_index, attempt, outcome.elapsed_ns)
@@ -145,7 +145,7 @@
         self._forget_if_complete(now_ns, active)
 
     def _on_timer(self, now_ns: int, timer_id: int) -> None:
-        if timer_id == TimerId.UPDATE:
+        if timer_id == TimerId.WINDOW_END:
             self._end_window(now_ns)
         elif timer_id == TimerId.POLL:
             self._poller.on_timer(now_ns)
@@ -177,7 +177,7 @@
         if self._endpoints.candidates.has_equal_weights():
             self._hardware_types.update_ratios()
         self._slow_start.end_window(now_ns)
-        self._actions.emit(api.SetTimer(now_ns + WINDOW_NS, TimerId.UPDATE))
+        self._actions.emit(api.SetTimer(now_ns + WINDOW_NS, TimerId.WINDOW_END))
 
     def _send_first(self, now_ns: int, active: ActiveRequest) -> bool:
         """Send a request's first attempt; return False if no endpoint may be used."""
@@ -212,10 +212,10 @@
         self._slow_start.on_attempt_sent(now_ns, status)
         self._admission.on_attempt_sent(now_ns, active.request.class_index, status)
 
-    def _is_conclusive(
+    def _record_evidence(
         self, now_ns: int, active: ActiveRequest, attempt: Attempt, outcome: api.AttemptOutcome
     ) -> bool:
-        """Return whether the outcome shows the state of the endpoint, and record what else it shows."""
+        """Record what the outcome shows, and return whether it shows the state of the endpoint."""
         is_lost_on_idle = self._connections.on_attempt_ended(now_ns, attempt)
         if outcome.result is AttemptResult.OK:
             self._load_reports.on_success(attempt.status)
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -3,13 +3,13 @@
 At the end of each window, from the mean of this node's requests in flight (all classes) and the samples of
 the class's response times:
 
-    tail            = PERCENTILE of the samples
+    tail            = TAIL_QUANTILE of the samples
     unloaded_tail   follows the tail, fast downwards and slowly upwards
     target          = min(objective, max(TARGET_RATIO * objective, HEADROOM_FACTOR * unloaded_tail))
     ns_per_request  = SMOOTHING_FACTOR * ns_per_request + (1 - SMOOTHING_FACTOR) * tail / in_flight
     threshold       = max(target / ns_per_request, PROVEN_RATIO * proven_in_flight)
 
-While endpoints report that they are idle, the objective itself replaces TARGET_RATIO * objective. A window
+While endpoints report headroom, the objective itself replaces TARGET_RATIO * objective. A window
 within its target only changes ns_per_request if that raises the threshold: quiet windows would lower it and
 shed the next burst. `proven_in_flight` is the number lately carried within the target; it keeps the threshold
 from falling without end where all endpoints turn slow at once.
@@ -29,8 +29,8 @@
 
 from moleport.policy.timing import WINDOW_NS
 
-SMOOTHING_FACTOR = 0.5
-PERCENTILE = 0.85  # the few longest response times come from the requests themselves, not from load
+SMOOTHING_FACTOR = 0.5  # weight of the earlier mean
+TAIL_QUANTILE = 0.85  # the few longest response times come from the requests themselves, not from load
 TARGET_RATIO = 0.7  # of the latency objective
 HEADROOM_FACTOR = 1.5  # no threshold can reach a target below the unloaded tail
 UNLOADED_FALL_RATIO = 0.2
@@ -56,8 +56,8 @@
         self.count += change
         self.changed_at_ns = now_ns
 
-    def is_below(self, now_ns: int, cap: float) -> bool:
-        """Return whether one more request fits under the cap.
+    def update_and_check(self, now_ns: int, cap: float) -> bool:
+        """Bring the mean up to now, and return whether one more request fits under the cap.
 
         Where the cap is small, requests that come together by chance may exceed it by a few standard
         deviations while the mean is below it.
@@ -97,24 +97,24 @@
             return initial_threshold
         return max(self.target_ns / self.ns_per_request, PROVEN_RATIO * self.proven_in_flight)
 
-    def end_window(self, mean_in_flight: float, initial_threshold: float, is_fleet_idle: bool) -> None:
+    def end_window(self, mean_in_flight: float, initial_threshold: float, has_headroom: bool) -> None:
         """Update the threshold from the samples of the window that ends."""
         if self.samples_ns and mean_in_flight:
             self.samples_ns.sort()
-            tail_ns = max(MIN_TAIL_NS, self.samples_ns[int(PERCENTILE * (len(self.samples_ns) - 1))])
+            tail_ns = max(MIN_TAIL_NS, self.samples_ns[int(TAIL_QUANTILE * (len(self.samples_ns) - 1))])
             median_ns = self.samples_ns[len(self.samples_ns) // 2]
             self.typical_ns += (1 - SMOOTHING_FACTOR) * (median_ns - self.typical_ns)
-            self._update_target(tail_ns, is_fleet_idle)
+            self._update_target(tail_ns, has_headroom)
             self._update_threshold(tail_ns, mean_in_flight, initial_threshold)
         self.samples_ns.clear()
 
-    def _update_target(self, tail_ns: float, is_fleet_idle: bool) -> None:
+    def _update_target(self, tail_ns: float, has_headroom: bool) -> None:
         if self.unloaded_tail_ns:
             ratio = UNLOADED_FALL_RATIO if tail_ns < self.unloaded_tail_ns else UNLOADED_RISE_RATIO
             self.unloaded_tail_ns += ratio * (tail_ns - self.unloaded_tail_ns)
         else:
             self.unloaded_tail_ns = tail_ns
-        min_target_ns = (1.0 if is_fleet_idle else TARGET_RATIO) * self.latency_objective_ns
+        min_target_ns = (1.0 if has_headroom else TARGET_RATIO) * self.latency_objective_ns
         reachable_ns = max(min_target_ns, HEADROOM_FACTOR * self.unloaded_tail_ns)
         self.target_ns = min(self.latency_objective_ns, reachable_ns)
 
@@ -122,8 +122,8 @@
         is_within_target = tail_ns <= self.target_ns
         carried = mean_in_flight if is_within_target else 0.0
         self.proven_in_flight = max(PROVEN_DECAY_FACTOR * self.proven_in_flight, carried)
-        window = tail_ns / mean_in_flight
-        if is_within_target and self.target_ns / window <= self.threshold(initial_threshold):
+        window_ns_per_request = tail_ns / mean_in_flight
+        if is_within_target and self.target_ns / window_ns_per_request <= self.threshold(initial_threshold):
             return
         before = self.ns_per_request or self.target_ns / max(1.0, initial_threshold)
-        self.ns_per_request = SMOOTHING_FACTOR * before + (1 - SMOOTHING_FACTOR) * window
+        self.ns_per_request = SMOOTHING_FACTOR * before + (1 - SMOOTHING_FACTOR) * window_ns_per_request
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -27,8 +27,8 @@
 from moleport.policy.state import Attempt, EndpointStatus
 
 MAX_FRESH_IDLE_NS = 250_000_000  # a connection that idled for less is as good as a new one
-NEWEST_LOSS_RATIO = 0.2
-NEWEST_IDLE_TIMEOUT_RATIO = 0.05  # a time-out is weaker evidence of a dropped connection than a reset
+LOSS_EWMA_WEIGHT = 0.2
+IDLE_TIMEOUT_EWMA_WEIGHT = 0.05  # a time-out is weaker evidence of a dropped connection than a reset
 MIN_IDLE_LOSS_RATE = 0.3  # two resets in a row, or seven time-outs
 IDLE_LOSS_MULTIPLE = 2.0
 TRUST_DOUBLING_NS = 10_000_000_000
@@ -81,16 +81,16 @@
             attempt.status.idle_since_ns.append(now_ns)
         if not attempt.idle_ns:
             is_failed = result is AttemptResult.CONNECT_FAILED
-            self.connect_failure_rate += NEWEST_LOSS_RATIO * (is_failed - self.connect_failure_rate)
+            self.connect_failure_rate += LOSS_EWMA_WEIGHT * (is_failed - self.connect_failure_rate)
         is_lost = result in (AttemptResult.RESET, AttemptResult.TIMEOUT)
         if attempt.idle_ns <= MAX_FRESH_IDLE_NS:
-            self.loss_rate += NEWEST_LOSS_RATIO * (is_lost - self.loss_rate)
+            self.loss_rate += LOSS_EWMA_WEIGHT * (is_lost - self.loss_rate)
             return False
         return self._is_lost_on_idle(now_ns, attempt, is_lost)
 
     def _is_lost_on_idle(self, now_ns: int, attempt: Attempt, is_lost: bool) -> bool:
         is_timeout = attempt.result is AttemptResult.TIMEOUT
-        weight = NEWEST_IDLE_TIMEOUT_RATIO if is_timeout else NEWEST_LOSS_RATIO
+        weight = IDLE_TIMEOUT_EWMA_WEIGHT if is_timeout else LOSS_EWMA_WEIGHT
         self._idle_loss_rate += weight * (is_lost - self._idle_loss_rate)
         min_rate = max(MIN_IDLE_LOSS_RATE, IDLE_LOSS_MULTIPLE * self.loss_rate)
         if not is_lost or self._idle_loss_rate < min_rate:
--- a/moleport/policy/hardware_types.py
+++ b/moleport/policy/hardware_types.py
@@ -3,7 +3,7 @@
 Endpoints of one hardware type are machines alike. A node sees each endpoint seldom, but its type often, so it
 keeps the mean utilization of each type. At the end of each window, while all weights are equal:
 
-    hash_ratio = hash_ratio / max(MIN_HASH_RATIO, utilization) ** GAIN_EXPONENT
+    hash_ratio = hash_ratio / max(MIN_UTILIZATION_RATIO, utilization) ** GAIN_EXPONENT
 
 scaled such that the largest is 1, and at least MIN_HASH_RATIO. Selection passes over an endpoint for the part
 1 - hash_ratio of the keys that hash to it; the other keys keep their endpoints.
@@ -16,10 +16,11 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-NEWEST_REPORT_RATIO = 0.1  # of the newest report in a type's mean utilization
+MIN_REPORT_EWMA_WEIGHT = 0.1  # the first reports of a type weigh more
 MIN_REPORT_COUNT = 3  # for each type
 GAIN_EXPONENT = 0.3
 MIN_HASH_RATIO = 0.1
+MIN_UTILIZATION_RATIO = 0.1  # a lower utilization counts as this
 
 
 @dataclass(slots=True)
@@ -46,7 +47,7 @@
         """
         status = self.by_type[hardware_type]
         status.report_count += is_reported
-        weight = max(NEWEST_REPORT_RATIO, 1 / max(1, status.report_count))
+        weight = max(MIN_REPORT_EWMA_WEIGHT, 1 / max(1, status.report_count))
         status.utilization += weight * (utilization - status.utilization)
 
     def update_ratios(self) -> None:
@@ -55,7 +56,7 @@
         if min((one.report_count for one in types), default=0) < MIN_REPORT_COUNT:
             return
         for one in types:
-            one.hash_ratio /= max(MIN_HASH_RATIO, one.utilization) ** GAIN_EXPONENT
+            one.hash_ratio /= max(MIN_UTILIZATION_RATIO, one.utilization) ** GAIN_EXPONENT
         max_ratio = max(one.hash_ratio for one in types)
         for one in types:
             one.hash_ratio = max(MIN_HASH_RATIO, one.hash_ratio / max_ratio)
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -96,7 +96,7 @@
 class TimerId(IntEnum):
     """The timers that the module sets; the numbers are those of the simulator's wire."""
 
-    UPDATE = 1
+    WINDOW_END = 1
     """End of a measurement window."""
     POLL = 2
     """Time to poll discovery for the endpoint list."""
--- a/moleport/policy/load_reports.py
+++ b/moleport/policy/load_reports.py
@@ -5,18 +5,18 @@
 endpoints don't answer. Where endpoints report no utilization, a successful answer sets it back to 0; where
 they do, only a report does, as an answer may come without one.
 
-Used by selection (load score), hardware_types (hash ratios) and admission (whether the fleet is idle).
+Used by selection (load score), hardware_types (hash ratios) and admission (whether the fleet has headroom).
 """
 
 from __future__ import annotations
 
 from moleport.policy import interface as api
 from moleport.policy.hardware_types import HardwareTypes
-from moleport.policy.hashing import WEIGHT_UNITS
 from moleport.policy.state import EndpointStatus
 
 UTILIZATION = "utilization"
-IDLE_UTILIZATION_RATIO = 0.6  # mean of the ready endpoints; below it the fleet counts as idle
+HEADROOM_UTILIZATION_RATIO = 0.6  # mean of the ready endpoints; below it the fleet has headroom
+UTILIZATION_UNITS = 1 << 40  # units in a utilization of 1.0
 
 
 class LoadReports:
@@ -26,12 +26,13 @@
         self._fields = settings.load_report_fields
         self._has_utilization = UTILIZATION in settings.load_report_fields
         self._hardware_types = hardware_types
-        self._total_units = 0  # in 1 / WEIGHT_UNITS: sums of whole numbers have no rounding error
+        self._total_units = 0  # in 1 / UTILIZATION_UNITS: sums of whole numbers have no rounding error
 
-    def is_fleet_idle(self, ready_count: int) -> bool:
+    def has_headroom(self, ready_count: int) -> bool:
         """Return whether the ready endpoints report a low mean utilization."""
         return (
-            self._has_utilization and self._total_units < IDLE_UTILIZATION_RATIO * ready_count * WEIGHT_UNITS
+            self._has_utilization
+            and self._total_units < HEADROOM_UTILIZATION_RATIO * ready_count * UTILIZATION_UNITS
         )
 
     def on_success(self, status: EndpointStatus) -> None:
@@ -53,11 +54,11 @@
 
     def add_ready(self, status: EndpointStatus) -> None:
         """Add an endpoint that has become ready to the sum."""
-        self._total_units += int(status.utilization * WEIGHT_UNITS)
+        self._total_units += int(status.utilization * UTILIZATION_UNITS)
 
     def remove_ready(self, status: EndpointStatus) -> None:
         """Take an endpoint that was ready out of the sum."""
-        self._total_units -= int(status.utilization * WEIGHT_UNITS)
+        self._total_units -= int(status.utilization * UTILIZATION_UNITS)
 
     def _record(self, status: EndpointStatus, utilization: float) -> None:
         self._set(status, utilization)
@@ -66,5 +67,6 @@
 
     def _set(self, status: EndpointStatus, utilization: float) -> None:
         if status.is_ready:
-            self._total_units += int(utilization * WEIGHT_UNITS) - int(status.utilization * WEIGHT_UNITS)
+            units = int(utilization * UTILIZATION_UNITS)
+            self._total_units += units - int(status.utilization * UTILIZATION_UNITS)
         status.utilization = utilization
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -3,10 +3,11 @@
 Each endpoint has a failure rate, an exponentially weighted mean over its attempts: 0 for a success (OK) and 1
 for an error, a time-out, a reset or a failed connection. The weight of the newest outcome is
 
-- NEWEST_OUTCOME_RATIO for a success and, unless one of the next lines applies, for a failure: two failures in
+- FAILURE_EWMA_WEIGHT for a success and, unless one of the next lines applies, for a failure: two failures in
   a row eject
-- NEWEST_LOSS_RATIO for a time-out or a reset of an endpoint with a success within RECENT_SUCCESS_NS
-- NEWEST_RARE_OUTCOME_RATIO for an error, a time-out or a reset of one without a success for MAX_SILENCE_NS:
+- LOSS_AFTER_SUCCESS_EWMA_WEIGHT for a time-out or a reset of an endpoint with a success within
+  RECENT_SUCCESS_NS
+- RARE_FAILURE_EWMA_WEIGHT for an error, a time-out or a reset of one without a success for MAX_SILENCE_NS:
   one failure ejects, as a node that sends it few requests can't wait for a second one
 
 A success lowers the failure rate, but a single one never brings it to 0, except as a trial.
@@ -39,10 +40,10 @@
 from moleport.policy.state import EndpointStatus
 from moleport.policy.timing import jittered_ns
 
-NEWEST_OUTCOME_RATIO = 0.3
-NEWEST_LOSS_RATIO = 0.15
-NEWEST_RARE_OUTCOME_RATIO = 0.5
-NEWEST_FLEET_OUTCOME_RATIO = 0.02
+FAILURE_EWMA_WEIGHT = 0.3
+LOSS_AFTER_SUCCESS_EWMA_WEIGHT = 0.15
+RARE_FAILURE_EWMA_WEIGHT = 0.5
+FLEET_FAILURE_EWMA_WEIGHT = 0.02
 RECENT_SUCCESS_NS = 500_000_000
 MAX_SILENCE_NS = 2_000_000_000
 EJECTION_FAILURE_RATE = 0.5
@@ -99,15 +100,15 @@
         is_failed = result is not AttemptResult.OK
         weight = self._outcome_weight(now_ns, status, result)
         status.failure_rate += weight * (is_failed - status.failure_rate)
-        self._fleet_failure_rate += NEWEST_FLEET_OUTCOME_RATIO * (is_failed - self._fleet_failure_rate)
+        self._fleet_failure_rate += FLEET_FAILURE_EWMA_WEIGHT * (is_failed - self._fleet_failure_rate)
         self.track(status)
         if was_on_trial:
             self._end_trial(now_ns, status, is_failed)
-        elif is_failed and not status.ejected_until_ns and self.may_eject(status, result):
+        elif is_failed and not status.ejected_until_ns and self.make_room_for_ejection(status, result):
             self.eject(now_ns, status)
 
-    def may_eject(self, status: EndpointStatus, result: AttemptResult) -> bool:
-        """Return whether a failure ejects; at the limit this reinstates another endpoint for it."""
+    def make_room_for_ejection(self, status: EndpointStatus, result: AttemptResult) -> bool:
+        """Return whether a failure ejects; at the limit, reinstate another endpoint for it."""
         is_unreachable = result is AttemptResult.CONNECT_FAILED
         if status.failure_rate < EJECTION_FAILURE_RATE:
             return False
@@ -157,11 +158,11 @@
     def _outcome_weight(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> float:
         is_lost = result in (AttemptResult.TIMEOUT, AttemptResult.RESET)
         if is_lost and now_ns - status.succeeded_at_ns < RECENT_SUCCESS_NS:
-            return NEWEST_LOSS_RATIO
+            return LOSS_AFTER_SUCCESS_EWMA_WEIGHT
         is_silent = status.silence_ns(now_ns) >= MAX_SILENCE_NS
         if is_silent and result is not AttemptResult.CONNECT_FAILED:
-            return NEWEST_RARE_OUTCOME_RATIO
-        return NEWEST_OUTCOME_RATIO
+            return RARE_FAILURE_EWMA_WEIGHT
+        return FAILURE_EWMA_WEIGHT
 
     def _ejected_with_min_failure_rate(self) -> EndpointStatus | None:
         """Return the one with the lowest id where several have the same rate."""
--- a/moleport/policy/rejection_rates.py
+++ b/moleport/policy/rejection_rates.py
@@ -1,9 +1,10 @@
 """Rate of rejected answers of each endpoint, by request class.
 
-An exponentially weighted mean over successful (0) and rejected (1) answers; NEWEST_ANSWER_RATIO is the weight
-of the newest. In each window the rate of a ready endpoint is multiplied by DECAY_FACTOR, as an endpoint that
-is avoided gives no answers by which it could fall. It is kept by class, as an endpoint may reject some
-classes and serve others. Selection prefers endpoints with low rates; no endpoint is ejected for rejections.
+An exponentially weighted mean over successful (0) and rejected (1) answers; REJECTION_EWMA_WEIGHT is the
+weight of the newest. In each window the rate of a ready endpoint is multiplied by DECAY_FACTOR, as an
+endpoint that is avoided gives no answers by which it could fall. It is kept by class, as an endpoint may
+reject some classes and serve others. Selection prefers endpoints with low rates; no endpoint is ejected for
+rejections.
 
 Failure that this is for: an overloaded endpoint that rejects at once has few requests in flight, and by that
 alone would look like the least loaded one.
@@ -14,7 +15,7 @@
 from moleport.policy.interface import AttemptResult, EndpointState
 from moleport.policy.state import EndpointStatus
 
-NEWEST_ANSWER_RATIO = 0.2
+REJECTION_EWMA_WEIGHT = 0.2
 DECAY_FACTOR = 0.95  # each window
 MIN_TRACKED_RATE = 1e-3  # a lower rate is taken for 0
 
@@ -32,7 +33,7 @@
             return
         rate = status.rejection_rates.get(class_index, 0.0)
         if rate or is_rejected:
-            status.rejection_rates[class_index] = rate + NEWEST_ANSWER_RATIO * (is_rejected - rate)
+            status.rejection_rates[class_index] = rate + REJECTION_EWMA_WEIGHT * (is_rejected - rate)
             self._affected[status] = None
 
     def decay(self) -> None:
--- a/moleport/policy/selection.py
+++ b/moleport/policy/selection.py
@@ -7,8 +7,9 @@
 
 Of these, the first two that may be used are compared by load score, and the lower one is selected. Passed
 over are endpoints that this request was sent to, those where it could be executed twice, ejected ones, those
-that slow start limits, and those that reject more than MAX_REJECTION_RATE of the class, as long as another
-one is found within MAX_REJECTING_COUNT of them. After a failed connection more than two are compared.
+that slow start limits, and those that reject more than MAX_REJECTION_RATE of the class. After
+MAX_REJECTING_COUNT rejecting endpoints the search stops; if no other was found the least loaded of these is
+used. After a failed connection up to CHOICES_AFTER_CONNECT_FAILURE_COUNT are compared.
 
     load score = (requests of this node in flight + penalties) * response_time_ratio / (weight * hash_ratio)
 
@@ -28,7 +29,7 @@
 from moleport.policy.connection_health import ConnectionHealth
 from moleport.policy.endpoint_set import EndpointSet
 from moleport.policy.hardware_types import HardwareTypes
-from moleport.policy.hashing import HASH_RATIO_SCALE, mix64
+from moleport.policy.hashing import HASH_RATIO_SCALE, HASH_RATIO_SHIFT_BITS, mix64
 from moleport.policy.hot_keys import HotKeyTracker
 from moleport.policy.interface import AttemptResult
 from moleport.policy.outlier_detection import OutlierDetector
@@ -36,6 +37,7 @@
 from moleport.policy.state import ActiveRequest, EndpointStatus
 
 CHOICE_COUNT = 2
+CHOICES_AFTER_CONNECT_FAILURE_COUNT = 12
 MAX_DRAW_COUNT = 12
 MAX_REJECTION_RATE = 0.5
 MAX_REJECTING_COUNT = 100
@@ -45,7 +47,6 @@
 MIN_CONNECT_FAILURE_RATE = 0.1
 CONNECT_PENALTY_REQUESTS = 8.0
 PLACE_BITS = 64
-RATIO_SHIFT_BITS = 44  # leaves the bits that HASH_RATIO_SCALE needs
 
 
 class EndpointSelector:
@@ -74,8 +75,8 @@
         """Return the endpoint for the next attempt, or None if there is none that may be used."""
         attempts = active.attempts
         seen = {attempt.status for attempt in attempts}
-        is_unconnected = bool(attempts) and attempts[-1].result is AttemptResult.CONNECT_FAILED
-        choice_count = MAX_DRAW_COUNT if is_unconnected else CHOICE_COUNT
+        last_connect_failed = bool(attempts) and attempts[-1].result is AttemptResult.CONNECT_FAILED
+        choice_count = CHOICES_AFTER_CONNECT_FAILURE_COUNT if last_connect_failed else CHOICE_COUNT
         class_index = active.request.class_index
         choices: list[EndpointStatus] = []
         rejecting: list[EndpointStatus] = []
@@ -85,7 +86,7 @@
             seen.add(status)
             if status.ejected_until_ns and not self._outliers.may_try(now_ns, status):
                 continue
-            if not self._slow_start.may_send(now_ns, status):
+            if not self._slow_start.refill_and_check(now_ns, status):
                 continue
             is_rejecting = status.rejection_rates.get(class_index, 0.0) > MAX_REJECTION_RATE
             (rejecting if is_rejecting else choices).append(status)
@@ -104,11 +105,11 @@
         first = self._random.randrange(fan_out) if fan_out > 1 else 0
         for draw in range(first, first + MAX_DRAW_COUNT):
             place = mix64(key + draw)
-            is_near = not (draw - first) % 2
-            status = find(place, is_near)
+            prefer_own_zone = not (draw - first) % 2
+            status = find(place, prefer_own_zone)
             if status is not None:
                 ratio = hardware_types[status.endpoint.hardware_type].hash_ratio
-                if ratio >= 1.0 or place >> RATIO_SHIFT_BITS < ratio * HASH_RATIO_SCALE:
+                if ratio >= 1.0 or place >> HASH_RATIO_SHIFT_BITS < ratio * HASH_RATIO_SCALE:
                     yield status
         start = mix64(key) % len(ready)
         for index in range(start, start + len(ready)):
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -45,7 +45,7 @@
 MAX_TOKEN_COUNT = 2.0  # requests
 FLEET_INITIAL_TOKEN_COUNT = 3.0  # requests of all nodes together: a fleet of one endpoint has to get some
 RATE_DECAY_FACTOR = 0.99  # each window
-ARRIVAL_SMOOTHING_FACTOR = 0.5  # each window
+ARRIVAL_EWMA_WEIGHT = 0.5  # of the newest window
 
 
 class SlowStart:
@@ -81,16 +81,16 @@
         progress = age_ns / self._duration_ns
         return self._initial_ratio + (1.0 - self._initial_ratio) * progress
 
-    def may_send(self, now_ns: int, status: EndpointStatus) -> bool:
-        """Return whether an endpoint may be sent a request; refills its tokens."""
+    def refill_and_check(self, now_ns: int, status: EndpointStatus) -> bool:
+        """Refill an endpoint's tokens, and return whether it may be sent a request."""
         ratio = self.capacity_ratio(now_ns, status.endpoint)
         if ratio >= 1.0:
             return True
         request_rate = self._warm_request_rate or self._assumed_request_rate
         fill_rate = CAPACITY_MARGIN_RATIO * ratio * request_rate * status.endpoint.weight
-        earned = fill_rate * (now_ns - status.refilled_at_ns)
+        earned = fill_rate * (now_ns - status.slow_start_refilled_at_ns)
         status.slow_start_tokens = min(MAX_TOKEN_COUNT, status.slow_start_tokens + earned)
-        status.refilled_at_ns = now_ns
+        status.slow_start_refilled_at_ns = now_ns
         return status.slow_start_tokens >= 1.0 and self._random.random() < self._burst_ratio
 
     def on_request(self) -> None:
@@ -116,10 +116,10 @@
     def on_restart(self, now_ns: int, status: EndpointStatus, endpoint: api.Endpoint) -> None:
         """Begin with new tokens where the new entry of an endpoint has another start time."""
         status.slow_start_tokens = self.initial_tokens(now_ns, endpoint)
-        status.refilled_at_ns = now_ns
+        status.slow_start_refilled_at_ns = now_ns
 
     def add_ready(self, status: EndpointStatus) -> None:
-        """Count an endpoint that has become ready; `warm_weight` checks whether it is warm."""
+        """Count an endpoint that has become ready; `update_warm_weight` checks whether it is warm."""
         self._warming[status] = None
 
     def remove_ready(self, status: EndpointStatus) -> None:
@@ -128,8 +128,8 @@
         status.warm_weight_units = 0
         self._warming.pop(status, None)
 
-    def warm_weight(self, now_ns: int) -> float:
-        """Return the weight of the ready endpoints that are warm."""
+    def update_warm_weight(self, now_ns: int) -> float:
+        """Note which endpoints have warmed up, and return the weight of the ready ones that are warm."""
         warmed = [one for one in self._warming if self.capacity_ratio(now_ns, one.endpoint) >= 1.0]
         for status in warmed:
             del self._warming[status]
@@ -141,7 +141,7 @@
         """Update the rates from the counts of the window that ends."""
         # Answers, and not attempts: losses of other endpoints raise the attempts beyond what one can carry.
         self._warm_answers = RATE_DECAY_FACTOR * self._warm_answers + self._window_answers
-        weight_ns = WINDOW_NS * self.warm_weight(now_ns)
+        weight_ns = WINDOW_NS * self.update_warm_weight(now_ns)
         self._warm_weight_ns = RATE_DECAY_FACTOR * self._warm_weight_ns + weight_ns
         self._measured_ns = RATE_DECAY_FACTOR * self._measured_ns + WINDOW_NS
         self.update_burst_ratio(now_ns)
@@ -155,7 +155,7 @@
 
     def update_burst_ratio(self, now_ns: int) -> None:
         """Adapt the part of the selections that may spend tokens to the capacity that is left."""
-        present = self.warm_weight(now_ns) + sum(self._capacity(now_ns, one) for one in self._warming)
+        present = self.update_warm_weight(now_ns) + sum(self._capacity(now_ns, one) for one in self._warming)
         present -= sum(self._capacity(now_ns, one) for one in self._outliers.ejected)
         usual = self._warm_weight_ns / self._measured_ns if self._measured_ns else present
         if not usual:
@@ -167,7 +167,7 @@
     def _update_arrival_rate(self) -> None:
         window_rate = self._window_arrivals / WINDOW_NS
         if self._arrival_rate:
-            self._arrival_rate += ARRIVAL_SMOOTHING_FACTOR * (window_rate - self._arrival_rate)
+            self._arrival_rate += ARRIVAL_EWMA_WEIGHT * (window_rate - self._arrival_rate)
         else:
             self._arrival_rate = window_rate
 
--- a/moleport/policy/state.py
+++ b/moleport/policy/state.py
@@ -22,7 +22,7 @@
     """Its entry in the endpoint list. Owner: endpoint_registry."""
     slow_start_tokens: float
     """Requests that it may be sent during slow start. Owner: slow_start."""
-    refilled_at_ns: int
+    slow_start_refilled_at_ns: int
     """When the tokens were last refilled. Owner: slow_start."""
     in_flight: int = 0
     """Attempts of this node in flight, and those released late after a time-out. Owner: admission."""
--- a/scale/candidates.py
+++ b/scale/candidates.py
@@ -248,7 +248,7 @@
     snapshot = api.EndpointUpdate(
         api.EndpointUpdateKind.SNAPSHOT, tuple(endpoint(number) for number in range(size))
     )
-    update_timer = api.TimerFired(api.TimerId.UPDATE)
+    update_timer = api.TimerFired(api.TimerId.WINDOW_END)
     node = Balancer(node_settings(), 1)
     node.handle(1, snapshot)
     node.handle(1, update_timer)
--- a/tests/test_ticks.py
+++ b/tests/test_ticks.py
@@ -17,6 +17,7 @@
 from moleport.policy.hashing import WEIGHT_UNITS, to_weight_units
 from moleport.policy.hot_keys import HotKeyTracker
 from moleport.policy.interface import AttemptResult, EndpointState
+from moleport.policy.load_reports import UTILIZATION_UNITS
 
 TICK = api.TimerFired(1)
 
@@ -59,9 +60,12 @@
         node.balancer._outliers.eject(node.now, status)
     failing = node.balancer._endpoints.ready[1500]
     failing.failure_rate = 0.8
-    assert operations(lambda: node.balancer._outliers.may_eject(failing, AttemptResult.TIMEOUT)) < 2000
-    assert not node.balancer._outliers.may_eject(failing, AttemptResult.TIMEOUT)
-    assert node.balancer._outliers.may_eject(failing, AttemptResult.CONNECT_FAILED)
+    assert (
+        operations(lambda: node.balancer._outliers.make_room_for_ejection(failing, AttemptResult.TIMEOUT))
+        < 2000
+    )
+    assert not node.balancer._outliers.make_room_for_ejection(failing, AttemptResult.TIMEOUT)
+    assert node.balancer._outliers.make_room_for_ejection(failing, AttemptResult.CONNECT_FAILED)
 
 
 def test_at_the_ejection_limit_a_worse_endpoint_replaces_the_one_with_the_min_failure_rate() -> None:
@@ -71,9 +75,10 @@
         status.failure_rate = failures
         node.balancer._outliers.eject(node.now, status)
     ready[5].failure_rate = 0.8
-    assert not node.balancer._outliers.may_eject(ready[5], AttemptResult.TIMEOUT)  # not that much worse
+    # Not that much worse.
+    assert not node.balancer._outliers.make_room_for_ejection(ready[5], AttemptResult.TIMEOUT)
     ready[5].failure_rate = 1.0
-    assert node.balancer._outliers.may_eject(ready[5], AttemptResult.TIMEOUT)
+    assert node.balancer._outliers.make_room_for_ejection(ready[5], AttemptResult.TIMEOUT)
     assert [bool(one.ejected_until_ns) for one in ready[:3]] == [True, False, True]  # the lower id of two
 
 
@@ -114,13 +119,13 @@
         ]
         assert balancer._endpoints.ready == sorted(ready, key=lambda one: one.endpoint.id)
         assert balancer._load_reports._total_units == sum(
-            int(one.utilization * WEIGHT_UNITS) for one in ready
+            int(one.utilization * UTILIZATION_UNITS) for one in ready
         )
         assert set(balancer._outliers.ejected) == {one for one in ready if one.ejected_until_ns}
         for status in balancer._outliers.ejected:
             assert (status.failure_rate, status.endpoint.id) in balancer._outliers._by_failure_rate
         warm = [one for one in ready if balancer._slow_start.capacity_ratio(game.now, one.endpoint) >= 1.0]
-        assert balancer._slow_start.warm_weight(game.now) == sum(one.endpoint.weight for one in warm)
+        assert balancer._slow_start.update_warm_weight(game.now) == sum(one.endpoint.weight for one in warm)
         assert set(balancer._slow_start._warming) == set(ready) - set(warm)
         assert set(balancer._rejection_rates._affected) >= {
             one for one in ready if any(one.rejection_rates.values())
@@ -132,13 +137,13 @@
     node = Node(settings(slow_start_duration_ns=SECOND), servers=0)
     cold = server(2, started=node.now)
     node.tell(whole(server(0)._replace(weight=0.1), server(1)._replace(weight=0.2), cold))
-    assert node.balancer._slow_start.warm_weight(node.now) * WEIGHT_UNITS == to_weight_units(
+    assert node.balancer._slow_start.update_warm_weight(node.now) * WEIGHT_UNITS == to_weight_units(
         0.1
     ) + to_weight_units(0.2)
     node.tell(delta(server(0, started=node.now)._replace(weight=0.1), server(1)._replace(weight=4.0)))
-    assert node.balancer._slow_start.warm_weight(node.now) == 4.0
+    assert node.balancer._slow_start.update_warm_weight(node.now) == 4.0
     node.now += SECOND + MS
-    assert node.balancer._slow_start.warm_weight(node.now) == pytest.approx(5.1)
+    assert node.balancer._slow_start.update_warm_weight(node.now) == pytest.approx(5.1)
 
 
 ARRIVALS = st.lists(st.tuples(st.sampled_from([1, 1, *range(2, 12)]), st.booleans()), max_size=300)
