--- a/moleport/policy/endpoint_set.py
+++ b/moleport/policy/endpoint_set.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from moleport.policy import interface as api
+from moleport.policy.candidate_index import CandidateIndex
 from moleport.policy.state import EndpointStatus
-from moleport.policy.zones import CandidateIndex
 
 
 class EndpointSet:
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -19,9 +19,9 @@
 from world import SECOND, Node, server, settings, whole
 
 from moleport.policy import interface as api
+from moleport.policy.candidate_index import CandidateIndex
 from moleport.policy.hashing import SlotGrid, mix64, to_weight_units
 from moleport.policy.interface import AttemptResult, EndpointState, EndpointUpdateKind
-from moleport.policy.zones import CandidateIndex
 
 
 def operations(call: Callable[[], object]) -> int:
