--- a/moleport/policy/candidate_index.py
+++ b/moleport/policy/candidate_index.py
@@ -75,7 +75,7 @@
         """
         if prefer_own_zone and (
             self._own_zone_ratio == HASH_RATIO_SCALE
-            or mix64(key_hash) >> HASH_RATIO_SHIFT_BITS < self._own_zone_ratio
+            or (mix64(key_hash) >> HASH_RATIO_SHIFT_BITS) < self._own_zone_ratio
         ):
             return self._own_zone_grid.find(key_hash)
         return self._all_zones_grid.find(key_hash)
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -1,6 +1,6 @@
-"""Adaptive circuit breaker of one request class: how many requests in flight meet its latency objective.
+"""Adaptive circuit breaker of one request class: how many attempts in flight meet its latency objective.
 
-At the end of each window, from the mean of this node's requests in flight (all classes) and the samples of
+At the end of each window, from the mean of this node's attempts in flight (all classes) and the samples of
 the class's response times:
 
     tail            = TAIL_QUANTILE of the samples
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class InFlight:
-    """Requests in flight, now and in an exponentially weighted mean over one window."""
+    """Attempts in flight, now and in an exponentially weighted mean over one window."""
 
     count: int = 0
     mean: float = 0.0
@@ -57,9 +57,9 @@
         self.changed_at_ns = now_ns
 
     def update_and_check(self, now_ns: int, cap: float) -> bool:
-        """Bring the mean up to now, and return whether one more request fits under the cap.
+        """Bring the mean up to now, and return whether one more attempt fits under the cap.
 
-        Where the cap is small, requests that come together by chance may exceed it by a few standard
+        Where the cap is small, attempts that come together by chance may exceed it by a few standard
         deviations while the mean is below it.
         """
         self.add(now_ns, 0)
@@ -77,13 +77,13 @@
     unloaded_tail_ns: float = 0.0
     """0: not known."""
     ns_per_request: float = 0.0
-    """Tail of the response time for each request in flight; 0: not known."""
+    """Tail of the response time for each attempt in flight; 0: not known."""
     proven_in_flight: float = 0.0
-    """Requests of all classes in flight."""
+    """Attempts of all classes in flight."""
     typical_ns: float = 0.0
     """Smoothed median of the response times."""
     in_flight: InFlight = field(default_factory=InFlight)
-    """Requests of this class in flight."""
+    """Attempts of this class in flight."""
     samples_ns: list[float] = field(default_factory=list)
     """Response times in this window."""
 
@@ -92,7 +92,7 @@
         self.typical_ns = float(self.latency_objective_ns)
 
     def threshold(self, initial_threshold: float) -> float:
-        """Return how many requests in flight meet the target; the initial threshold until that is known."""
+        """Return how many attempts in flight meet the target; `initial_threshold` until that is known."""
         if not self.ns_per_request:
             return initial_threshold
         return max(self.target_ns / self.ns_per_request, PROVEN_RATIO * self.proven_in_flight)
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -19,10 +19,13 @@
 
 T = TypeVar("T")
 
-HASH_MASK = (1 << 64) - 1
-HASH_RATIO_SCALE = 1 << 20
+HASH_BITS = 64
+HASH_MASK = (1 << HASH_BITS) - 1
+HASH_RATIO_BITS = 20
+HASH_RATIO_SCALE = 1 << HASH_RATIO_BITS
 """1.0, for a ratio that is compared with a hash shifted by `HASH_RATIO_SHIFT_BITS`."""
-HASH_RATIO_SHIFT_BITS = 44
+HASH_RATIO_SHIFT_BITS = HASH_BITS - HASH_RATIO_BITS
+"""Shift that leaves the highest `HASH_RATIO_BITS` of a hash."""
 RANK_BYTES = 24
 
 SPARSITY_FACTOR = 16
@@ -60,6 +63,11 @@
     return int(min(max(weight, MIN_WEIGHT), MAX_WEIGHT) * WEIGHT_UNITS)
 
 
+def ceil_div(dividend: int, divisor: int) -> int:
+    """Return the quotient rounded up; exact, as a float would not be for large integers."""
+    return -(-dividend // divisor)
+
+
 class Claim(Generic[T]):
     """An endpoint's claim to one slot: the first of its probe sequence that no claim of lower rank has."""
 
@@ -80,7 +88,7 @@
         """Return a slot of the probe sequence, by double hashing; an odd stride reaches every slot."""
         if not probe:
             return self.rank & mask
-        return (self.rank + probe * (self.rank >> 64 | 1)) & mask
+        return (self.rank + probe * ((self.rank >> HASH_BITS) | 1)) & mask
 
 
 class SlotGrid(Generic[T]):
@@ -119,7 +127,7 @@
         slot_units = self._fitting_slot_units()
         if slot_units != self._slot_units:
             self._slot_units = slot_units
-            self._claim_count = sum(-(-units // slot_units) for units, _ in self._members.values())
+            self._claim_count = sum(ceil_div(units, slot_units) for units, _ in self._members.values())
         elif self._occupied and self._fitting_slot_count() == self._mask + 1:
             for name in changes:
                 for claim in self._adjust_claims(name):
@@ -138,15 +146,16 @@
         mask, occupied, slots = self._mask, self._occupied, self._slots
         for _ in range(MAX_WINDOW_COUNT):
             start = key_hash & mask
-            stride = key_hash >> STRIDE_SHIFT_BITS & STRIDE_LIMIT - 1 | 1
+            stride = ((key_hash >> STRIDE_SHIFT_BITS) & (STRIDE_LIMIT - 1)) | 1
             window = occupied[start : start + WINDOW_SLOT_COUNT * stride : stride]
             hit = window.find(1)
             while hit >= 0:
-                claim = slots[start + hit * stride & mask]
+                claim = slots[(start + hit * stride) & mask]
                 key_ratio = claim.key_ratio
                 if (
                     key_ratio == HASH_RATIO_SCALE
-                    or mix64(key_hash + hit ^ claim.rank & HASH_MASK) >> HASH_RATIO_SHIFT_BITS < key_ratio
+                    or (mix64((key_hash + hit) ^ (claim.rank & HASH_MASK)) >> HASH_RATIO_SHIFT_BITS)
+                    < key_ratio
                 ):
                     return claim.value
                 hit = window.find(1, hit + 1)
@@ -160,7 +169,7 @@
             if previous is not None:
                 units = previous[0]
                 self.total_units -= units
-                self._claim_count -= -(-units // slot_units)
+                self._claim_count -= ceil_div(units, slot_units)
                 weight_counts[units] -= 1
                 if not weight_counts[units]:
                     del weight_counts[units]
@@ -168,7 +177,7 @@
                 units = change[0]
                 members[name] = change
                 self.total_units += units
-                self._claim_count += -(-units // slot_units)
+                self._claim_count += ceil_div(units, slot_units)
                 weight_counts[units] = weight_counts.get(units, 0) + 1
 
     def _fitting_slot_units(self) -> int:
@@ -180,7 +189,7 @@
         if not twice_mean:
             return self._slot_units
         power_of_four = (twice_mean.bit_length() - 1) // 2
-        return 1 << 2 * power_of_four
+        return 1 << (2 * power_of_four)
 
     def _fitting_slot_count(self) -> int:
         count = MIN_SLOT_COUNT
@@ -192,7 +201,7 @@
         """Give a member as many claims as its weight comes to; return the new ones, still without slots."""
         claims = self._claims.setdefault(name, [])
         units, value = self._members.get(name, (0, None))
-        count = -(-units // self._slot_units)
+        count = ceil_div(units, self._slot_units)
         while len(claims) > count:
             self._release(claims.pop())
         if value is None:
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -314,7 +314,7 @@
 
 
 class WatchEndpoints(NamedTuple):
-    """Action: ask for the endpoint list and for all later changes to it."""
+    """Action: poll discovery for the endpoint list, and watch it for all later changes."""
 
 
 Action = Forward | Reject | Fail | CloseIdleConnections | SetTimer | WatchEndpoints
--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -3,11 +3,11 @@
 Classes with `ordered_by_key` send the first request of a key at once; the others of this key wait in its
 queue until those before them are complete. A request is queued only if it can be sent in time:
 
-    max(now, cooldown) + waiting requests * typical <= useful_until - typical
+    max(now, cooldown) + open requests ahead * typical <= useful_until - typical
 
-with `typical` the class's typical response time in ns. Otherwise it is rejected at once. A request that has
-not been sent by the right-hand side gets its final answer then. When its turn comes, it also needs capacity
-under its class's cap.
+with `typical` the class's typical response time in ns; a request of the queue is open until its client has an
+answer or has disconnected. Otherwise it is rejected at once. A request that has not been sent by the
+right-hand side gets its final answer then. When its turn comes, it also needs capacity under its class's cap.
 
 After an attempt that may still be running (time-out, reset or cancellation) the key's next request waits for
 the settings' `key_cooldown_ns`.
@@ -98,9 +98,9 @@
 
     def _wait(self, now_ns: int, active: ActiveRequest, queue: KeyQueue) -> bool:
         typical_ns = int(self._admission.typical_ns(active.request.class_index))
-        waiting_count = sum(1 for other in queue.requests if not other.is_closed)
+        open_ahead_count = sum(1 for other in queue.requests if not other.is_closed)
         latest_ns = active.useful_until_ns - typical_ns
-        if max(now_ns, queue.cooldown_until_ns) + waiting_count * typical_ns > latest_ns:
+        if max(now_ns, queue.cooldown_until_ns) + open_ahead_count * typical_ns > latest_ns:
             return False
         self._active_requests[active.request.id] = active
         self._deferred.defer(latest_ns, partial(self._abandon_unsent, active))
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -22,8 +22,8 @@
     doublings = min(failed trials, MAX_EJECTION_DOUBLINGS)
     ejection = max(EJECTION_NS * 2 ** doublings, min(silence, MAX_SILENCE_EJECTION_NS)) * uniform(0.5, 1)
 
-This is 1 s to 32 s; `silence` is the time without a success since the endpoint was listed.
-After that time one attempt is its trial: a success reinstates the endpoint, a failure ejects it again. See
+An ejection lasts 1 s to 32 s; `silence` is the time without a success since the endpoint was listed. After
+the ejection one attempt is its trial: a success reinstates the endpoint, a failure ejects it again. See
 Envoy's outlier detection for the general mechanism.
 
 Failure that this is for: an endpoint that crashed, hangs or answers all requests with errors.
--- a/moleport/policy/selection.py
+++ b/moleport/policy/selection.py
@@ -109,7 +109,7 @@
             status = find(place, prefer_own_zone)
             if status is not None:
                 ratio = hardware_types[status.endpoint.hardware_type].hash_ratio
-                if ratio >= 1.0 or place >> HASH_RATIO_SHIFT_BITS < ratio * HASH_RATIO_SCALE:
+                if ratio >= 1.0 or (place >> HASH_RATIO_SHIFT_BITS) < ratio * HASH_RATIO_SCALE:
                     yield status
         start = mix64(key) % len(ready)
         for index in range(start, start + len(ready)):
