--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -1,9 +1,14 @@
 """Routes the events of interface.py to the rules, and wires the rules together; holds no rule itself.
 
-- Arrival of a request: admission (circuit_breaker, quotas), then key_ordering or at once selection
-- End of an attempt: connection_health, load_reports, rejection_rates, outlier_detection; then retries, and
-  final_answers where no retry is allowed
-- Update of the endpoint list: endpoint_registry, slow_start; discovery_polling decides when to ask for it
+- Arrival of a request: slow_start and hot_keys count it; admission (quotas, circuit_breaker); then
+  key_ordering or at once selection; final_answers where it is rejected
+- Start of an attempt: connection_health, outlier_detection, slow_start, admission
+- End of an attempt: key_ordering (cooldown), connection_health, load_reports and slow_start, admission,
+  rejection_rates, outlier_detection; then retries and selection, admission (sample of the response time),
+  final_answers where no retry is allowed, and key_ordering (next request of the key)
+- Update of the endpoint list: discovery_polling (which also decides when to poll), endpoint_registry,
+  admission, slow_start
+- Disconnection of a client: final_answers, key_ordering
 - End of a window: admission, rejection_rates, hot_keys, hardware_types and slow_start update their rates
 
 What may be sent twice is decided by ActiveRequest in state.py.
@@ -82,7 +87,7 @@
         """
         self._actions.pending = []
         window_ends_ns = now_ns + jittered_ns(self._random, WINDOW_NS, 0.0)
-        self._actions.emit(api.SetTimer(window_ends_ns, TimerId.UPDATE))
+        self._actions.emit(api.SetTimer(window_ends_ns, TimerId.WINDOW_END))
         self._poller.start(now_ns)
         return self._actions.pending
 
@@ -125,8 +130,9 @@
             return
         attempt.result = outcome.result
         self._key_ordering.cool_down(now_ns, active, outcome.result)
-        is_conclusive = self._is_conclusive(now_ns, active, attempt, outcome)
+        is_conclusive = self._record_evidence(now_ns, active, attempt, outcome)
         class_index = active.request.class_index
+        # The order matters: admission reads ejected_until_ns before outlier detection changes it.
         self._admission.on_attempt_ended(now_ns, class_index, attempt, outcome.elapsed_ns)
         shown = outcome.result if is_conclusive else AttemptResult.CANCELLED
         self._record_result(now_ns, attempt.status, shown, class_index)
@@ -139,7 +145,7 @@
         self._forget_if_complete(now_ns, active)
 
     def _on_timer(self, now_ns: int, timer_id: int) -> None:
-        if timer_id == TimerId.UPDATE:
+        if timer_id == TimerId.WINDOW_END:
             self._end_window(now_ns)
         elif timer_id == TimerId.POLL:
             self._poller.on_timer(now_ns)
@@ -171,7 +177,7 @@
         if self._endpoints.candidates.has_equal_weights():
             self._hardware_types.update_ratios()
         self._slow_start.end_window(now_ns)
-        self._actions.emit(api.SetTimer(now_ns + WINDOW_NS, TimerId.UPDATE))
+        self._actions.emit(api.SetTimer(now_ns + WINDOW_NS, TimerId.WINDOW_END))
 
     def _send_first(self, now_ns: int, active: ActiveRequest) -> bool:
         """Send a request's first attempt; return False if no endpoint may be used."""
@@ -206,10 +212,10 @@
         self._slow_start.on_attempt_sent(now_ns, status)
         self._admission.on_attempt_sent(now_ns, active.request.class_index, status)
 
-    def _is_conclusive(
+    def _record_evidence(
         self, now_ns: int, active: ActiveRequest, attempt: Attempt, outcome: api.AttemptOutcome
     ) -> bool:
-        """Return whether the outcome shows the state of the endpoint, and record what else it shows."""
+        """Record what the outcome shows, and return whether it shows the state of the endpoint."""
         is_lost_on_idle = self._connections.on_attempt_ended(now_ns, attempt)
         if outcome.result is AttemptResult.OK:
             self._load_reports.on_success(attempt.status)
