--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -5,6 +5,8 @@
 Input frame: length (u32, of what follows), clock (u64, ns), record count (u32), records.
 Output frame: length (u32, of what follows), action count (u32), actions.
 
+The instance that a SELECT record names holds for the records after it in the same frame.
+
 A record is its code (u8), its fixed fields, and for some codes a content whose item count is the last fixed
 field. The layouts are in `_FORMATS` (input) and `_ACTIONS` (output), in the notation of the struct module.
 """
@@ -52,7 +54,7 @@
 _ENTRY = struct.Struct("<6sBHHBfQ")
 _FLOAT_BYTES = 4
 _ACTION_COUNT_BYTES = 4
-_MAX_TEXT_BYTES = 60_000
+_MAX_TEXT_BYTES = 60_000  # a bound of the adapter, below what the length field takes
 
 _ACTIONS = {
     ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # request, endpoint, timeout in ns
@@ -172,7 +174,7 @@
 
 
 def encode_text(code: ActionCode, text: str) -> bytes:
-    """Encode an action that carries text, cut to what its length field takes."""
+    """Encode an action that carries text, cut to `_MAX_TEXT_BYTES`."""
     data = text.encode("utf-8", "replace")[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, len(data)) + data
 
--- a/moleport/adapter/translation.py
+++ b/moleport/adapter/translation.py
@@ -34,6 +34,7 @@
 
 _T = TypeVar("_T")
 
+# Kind 1 has no entry: no event of the decision module stands for it, and a record of this kind is an error.
 UPDATE_KINDS = {
     0: api.EndpointUpdateKind.CACHED,
     2: api.EndpointUpdateKind.DELTA,
@@ -67,6 +68,7 @@
 def encode_action(action: api.Action) -> bytes:
     """Encode an action of the decision module."""
     if isinstance(action, api.Forward):
+        # The protocol has no field for `write_deadline_ns`.
         return frames.encode_action(
             ActionCode.FORWARD, action.request_id, action.endpoint_id, action.timeout_ns
         )
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -11,7 +11,7 @@
 | `zone` | `zone` | empty |
 | `kind` | `hardware_type` | empty |
 | `cell` | `cell` | 0 |
-| `weight` | `weight` | 1 |
+| `weight` | `weight`; a number that is not positive and finite counts as 1 | 1 |
 | `started_ms` | `started_ms` | 0 |
 """
 
@@ -65,7 +65,8 @@
 def parse_address(text: object) -> tuple[str, int]:
     """Return host and port of an address; raises EndpointListError.
 
-    The host has to be an IP address, since names are not resolved.
+    Accepted are `a.b.c.d:port` and an IPv6 address, without brackets, followed by `:port`; the last colon
+    separates the port, from 0 to 65535. Names are not resolved.
     """
     if not isinstance(text, str):
         raise EndpointListError(f"no address: {text!r}")
--- a/moleport/config/settings.py
+++ b/moleport/config/settings.py
@@ -66,7 +66,7 @@
         """Return an integer of at least the minimum."""
         value = self._parse(path, int)
         if value < minimum:
-            raise SettingsError(f"required setting {path} is below {minimum}: {value}")
+            raise SettingsError(f"setting {path} is below {minimum}: {value}")
         return value
 
     def number(self, path: str) -> float:
@@ -77,7 +77,7 @@
         """Return the meaning of a setting that has to be one of these words."""
         text = self.text(path)
         if text not in meanings:
-            raise SettingsError(f"required setting {path} is unreadable: {text!r}")
+            raise SettingsError(f"setting {path} is unreadable: {text!r}")
         return meanings[text]
 
     def flag(self, path: str) -> bool:
@@ -97,7 +97,7 @@
         try:
             return parse(text)
         except (ValueError, OverflowError):
-            raise SettingsError(f"required setting {path} is unreadable: {text!r}") from None
+            raise SettingsError(f"setting {path} is unreadable: {text!r}") from None
 
 
 def parse_settings(values: Mapping[str, str]) -> api.Settings:
--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -4,11 +4,12 @@
 
 - `connection_lost`: the event loop reports that the connection is closed or reset.
 - `eof_received`: the event loop reports that the client has shut down its sending side.
-- `has_disconnected`: the dispatcher asks the kernel before a request is written to a server, because an end
-  of stream behind unread data, or one that a late event loop has not read yet, is known to the kernel only.
+- `has_disconnected`: `AttemptSupervisor.check_write_permission` asks the kernel before a connection to a
+  server is opened or a request is written, because an end of stream behind unread data, or one that a
+  delayed event loop has not read yet, is known to the kernel only.
 - `_check_while_paused`: while reading is paused, the kernel is asked every `PAUSED_CHECK_SECONDS`.
 
-The dispatcher learns of it by `on_client_disconnected` (the client gets no response) or by
+`RequestRegistry` learns of it by `on_client_disconnected` (the client gets no response) or by
 `on_client_half_closed` (the client may still read one).
 """
 
@@ -70,7 +71,7 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = RequestParser(context.config)
-        self._request_number = 0  # the dispatcher's, of the request that it serves; 0: none
+        self._request_number = 0  # given by the `RequestRegistry` to the request that is served; 0: none
         self._busy = False  # a request is unanswered, or its response is not written out
         self._keep_alive = True
         self._ending = False  # nothing more is parsed
@@ -148,7 +149,7 @@
     # Departures that the event loop has not reported.
 
     def has_disconnected(self) -> bool:
-        """Ask the kernel whether the client sends no more or is gone (about 1 us)."""
+        """Ask the kernel whether the client has shut down its sending side or closed the connection."""
         transport = self._transport
         if not self._half_closed and transport is not None and not transport.is_closing():
             self._half_closed = bool(self._peer_shutdown_poll.poll(0))
--- a/moleport/node/connection_pools.py
+++ b/moleport/node/connection_pools.py
@@ -12,7 +12,7 @@
 
 NS_PER_S = 1e9
 IDLE_TIMEOUT_FRACTION = 0.9  # of the server's idle timeout: a request that is written after that is lost
-MIN_UNREACHABLE_SERVERS = 2  # as many without a route mean that the network is at fault
+MIN_UNREACHABLE_SERVERS = 2  # as many without a route (or all, if fewer) mean that the network is at fault
 
 
 class ConnectionPools:
@@ -66,7 +66,11 @@
         return self._pools.keys()
 
     def ensure_capacity(self) -> bool:
-        """Return whether one more connection may be opened, after closing an idle one if need be."""
+        """Return whether one more connection may be opened, after closing an idle one if need be.
+
+        The descriptor of the closed connection is free only in a later iteration of the event loop, so that
+        the limit may be exceeded until then.
+        """
         return self.sockets < self._max_sockets or self.close_longest_idle()
 
     def close_longest_idle(self) -> bool:
@@ -88,8 +92,9 @@
     def fault_of_connect_error(self, address: tuple[str, int], error: OSError) -> Fault:
         """Return the party at fault for an error in connecting to an address.
 
-        A single server without a route is itself at fault. Several, with no successful connection between
-        them, mean that the network is.
+        An error without a route counts as the server's own fault until, with no successful connection in
+        between, `MIN_UNREACHABLE_SERVERS` addresses have had one; from then on the network is at fault. With
+        a single pool, or none, the network is at fault at once.
         """
         fault = fault_of(error)
         if fault is not Fault.PATH:
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -26,9 +26,10 @@
 # a discovery service that all nodes share, where calls are queued.
 AGENT_RESPONSE_TIMEOUT_S = 0.5
 SHARED_RESPONSE_TIMEOUT_S = 2.5
-# Discovery sends an empty line at once, and then at least every 2 s.
-FIRST_LINE_TIMEOUT_S = 2.5
-LINE_TIMEOUT_S = 3.0
+# Discovery sends an empty line at once, and then at least every 2 s. White space between two JSON objects,
+# as an empty line is, counts as data.
+FIRST_DATA_TIMEOUT_S = 2.5
+DATA_TIMEOUT_S = 3.0
 MAX_UPDATE_BYTES = 4 << 20
 SLICE_ENTRY_COUNT = 512  # entries of an update that are parsed in one loop iteration, in about 1 ms
 
@@ -122,6 +123,8 @@
         if watch is not self._watch:
             return
         try:
+            # Decoded in one call, unlike the entries, as `json` has no incremental decoder.
+            # `MAX_UPDATE_BYTES` bounds the time that it takes.
             version, is_snapshot, entries = parse_update_header(json.loads(text))
             # An older update, even a snapshot, would revert what is known. If discovery has restarted its
             # count, the next watch shows it, as that asks for a snapshot.
@@ -204,10 +207,11 @@
             self._owner.on_watch_ended(self, reason)
         self.close()
 
-    def _expect_line_by(self, deadline: float) -> None:
-        """Let the watch fail at a time of the loop's clock, in s, unless a line arrives before.
+    def _expect_data_by(self, deadline: float) -> None:
+        """Let the watch fail at a time of the loop's clock, in s, unless this is called again before.
 
-        A connection may die without notice. Bytes that complete no line do not count.
+        A connection may die without notice. Data counts if it completes an object or ends between
+        two objects.
         """
         self._timeout.cancel()
         if self._owner.is_current(self):
@@ -247,7 +251,7 @@
             return
         status = self._parser.get_status_code()
         if status == 200:
-            self._expect_line_by(self._opened_at + FIRST_LINE_TIMEOUT_S)
+            self._expect_data_by(self._opened_at + FIRST_DATA_TIMEOUT_S)
         elif status >= 200:
             self._fail(f"status {status}")
 
@@ -257,7 +261,7 @@
         for text in objects:
             self._owner.on_object(self, text)
         if objects or self._splitter.is_between_objects():
-            self._expect_line_by(self._loop.time() + LINE_TIMEOUT_S)
+            self._expect_data_by(self._loop.time() + DATA_TIMEOUT_S)
         if self._splitter.buffered_bytes() > MAX_UPDATE_BYTES:
             self._fail(f"an update longer than {MAX_UPDATE_BYTES} bytes")
 
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -104,7 +104,11 @@
             self._is_dispatching = False
 
     def _handle(self, event: api.Event) -> list[api.Action]:
-        """Return the policy's actions on an event; none if it fails, after which the node recovers alone."""
+        """Return the policy's actions on an event, or none if it raises an exception.
+
+        After an exception a timer is set again, and the request of a request or attempt event is answered
+        with an error. An event of another type is lost.
+        """
         try:
             return self._balancer.handle(monotonic_ns(), event)
         except Exception:
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -73,13 +73,13 @@
             self._is_synced.set()
 
     async def wait_until_synced(self) -> None:
-        """Wait until the first update is applied, the watch has failed, or no update came in time.
+        """Wait until an update is applied, the watch has failed, or `FIRST_DATA_TIMEOUT_S` have passed.
 
-        Endpoints in the configuration may be older than what discovery knows. Discovery may send no update
-        if nothing has changed, but then sends an empty first line within the timeout.
+        Endpoints in the configuration may be older than what discovery knows. The empty lines that discovery
+        sends while nothing has changed do not end the wait. Polled discovery is not waited for.
         """
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._is_synced.wait(), discovery_watch.FIRST_LINE_TIMEOUT_S)
+            await asyncio.wait_for(self._is_synced.wait(), discovery_watch.FIRST_DATA_TIMEOUT_S)
 
     # The watch.
 
--- a/moleport/node/graceful_shutdown.py
+++ b/moleport/node/graceful_shutdown.py
@@ -5,7 +5,7 @@
 2. Each response closes its connection, and the clients that wait in the kernel's queue are accepted.
 3. The listening socket is closed.
 4. The requests in flight are completed, and unused connections are closed.
-5. `finish_within_s` after the signal, what is still unanswered fails.
+5. `finish_within_s` after `shut_down` is called, what is still unanswered fails.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class ShutdownPlan(NamedTuple):
-    """The times of a shutdown, in s after SIGTERM."""
+    """The times of a shutdown, in s after the call of `shut_down`."""
 
     serve_on_s: float
     """Until when everything is served as before."""
@@ -38,8 +38,9 @@
     """Return the times for a node's shutdown.
 
     The nodes that take over may be restarting too, so the node serves on for as long as a request that it
-    accepts can still be answered in time: within its latency objective, or within its deadline where a late
-    response has a weight too.
+    accepts can still be answered in time, but for at least `MIN_SERVE_ON_SECONDS`. In time is within the
+    latency objective, or within the longest deadline of all classes for a class whose late responses have a
+    weight; the class with the longest such time counts.
     """
     useful_spans = [
         kind.latency_objective_ns / NS_PER_S if not kind.late_weight_ratio else MAX_DEADLINE_SECONDS
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -3,6 +3,9 @@
 A hold is a stopped process, a lost CPU core or a long pause of the process itself. After it the event loop
 runs timers and reads sockets in no defined order. Data that it reads may have been in the kernel for as long
 as the hold lasted, and data that a timer finds missing may be there unread.
+
+A heartbeat's delay beyond its period is compared with two thresholds: more than `HEARTBEAT_PERIOD_NS` counts
+towards the sum of holds (`stalled_ns`), `MIN_HOLD_NS` or more is a `LOOP_HELD` event.
 """
 
 from __future__ import annotations
@@ -14,7 +17,7 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1e9
-HEARTBEAT_PERIOD_NS = 20 * NS_PER_MS
+HEARTBEAT_PERIOD_NS = 20 * NS_PER_MS  # also the delay above which a heartbeat counts towards the sum
 MIN_HOLD_NS = 100 * NS_PER_MS  # longer than a busy loop delays a heartbeat
 SETTLE_DELAY_S = 0.001  # after the first delayed timer: the loop has read its sockets once by then
 
@@ -55,7 +58,7 @@
         return monotonic_ns() - self._last_heartbeat_ns - HEARTBEAT_PERIOD_NS
 
     def stalled_ns(self) -> int:
-        """Return the total time in ns for which the process has been held up since its start."""
+        """Return the sum, in ns, of the delays of heartbeats that exceed `HEARTBEAT_PERIOD_NS`."""
         delay_ns = self._heartbeat_delay_ns()
         if delay_ns <= HEARTBEAT_PERIOD_NS:
             return self._ended_holds_ns
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A request as the listener has parsed it."""
+    """A valid request, as its client connection builds it from what the request parser has read."""
 
     client: ClientHandle
     request_id: bytes  # set by the client, unique for each request
@@ -92,7 +92,7 @@
     def accept_request(self, client_request: ClientRequest) -> int:
         """Pass a client's request to the policy, or reject it at once.
 
-        Returns the request's number, by which the listener refers to it later.
+        Returns the request's number, by which the client connection refers to it later.
         """
         self._last_number += 1
         now = monotonic_ns()
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -24,7 +24,7 @@
 from moleport.policy.interface import EndpointState
 
 NS_PER_MS = 1_000_000
-MAX_REMOVED_SERVERS = 1024  # remembered beside as many as are listed, as a server may return
+FORGET_THRESHOLD_SERVERS = 1024  # removed ones are remembered up to it, as a server may return
 
 
 class RecordedStart(NamedTuple):
@@ -79,9 +79,10 @@
     def forget_removed(self, listed: Collection[str]) -> None:
         """Forget servers that are not listed, the earliest recorded first, once they are too many.
 
-        They are too many if they outnumber the listed ones by more than `MAX_REMOVED_SERVERS`.
+        They are too many if all recorded servers are more than twice the listed ones by more than
+        `FORGET_THRESHOLD_SERVERS`. As many as are listed are then kept.
         """
-        if len(self._starts) <= 2 * len(listed) + MAX_REMOVED_SERVERS:
+        if len(self._starts) <= 2 * len(listed) + FORGET_THRESHOLD_SERVERS:
             return
         removed = [name for name in self._starts if name not in listed]
         for name in removed[: len(removed) - len(listed)]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -106,10 +106,10 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Neither silence nor bytes that complete no line keep a watch open."""
-    for name in ("AGENT_RESPONSE_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S", "LINE_TIMEOUT_S"):
+    for name in ("AGENT_RESPONSE_TIMEOUT_S", "FIRST_DATA_TIMEOUT_S", "DATA_TIMEOUT_S"):
         monkeypatch.setattr(discovery, name, 0.3)
     monkeypatch.setattr(
-        discovery, "AGENT_RESPONSE_TIMEOUT_S" if how == "silent" else "FIRST_LINE_TIMEOUT_S", 0.1
+        discovery, "AGENT_RESPONSE_TIMEOUT_S" if how == "silent" else "FIRST_DATA_TIMEOUT_S", 0.1
     )
 
     async def test() -> None:
@@ -138,7 +138,7 @@
 
 def test_a_watch_with_lines_in_time_stays_open(monkeypatch: pytest.MonkeyPatch) -> None:
     """Empty lines are enough."""
-    monkeypatch.setattr(discovery, "LINE_TIMEOUT_S", 1.5)
+    monkeypatch.setattr(discovery, "DATA_TIMEOUT_S", 1.5)
 
     async def test() -> None:
         async with Discovery() as source, Rig(configuration(discovery=source.address)) as rig:
@@ -247,7 +247,7 @@
 def test_the_end_of_a_watch_is_reported_once(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each watch has its own report, whatever ends it."""
     if how == "silence":
-        monkeypatch.setattr(discovery, "FIRST_LINE_TIMEOUT_S", 0.05)
+        monkeypatch.setattr(discovery, "FIRST_DATA_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with Discovery() as source:
--- a/tests/test_discovery_reconnect.py
+++ b/tests/test_discovery_reconnect.py
@@ -48,10 +48,10 @@
     pause = MAX_DRAIN_GRACE_FRACTION * grace
     assert pause <= MIN_DELAY_SECONDS * 2**MAX_DOUBLINGS
     # An empty line is sent every 2 s.
-    assert min(discovery.LINE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S) > 2.0
-    again = MIN_DELAY_SECONDS + discovery.FIRST_LINE_TIMEOUT_S + 2 * MIN_DELAY_SECONDS
-    assert discovery.LINE_TIMEOUT_S + again < counts_as_delivered
-    assert discovery.FIRST_LINE_TIMEOUT_S + pause + discovery.AGENT_RESPONSE_TIMEOUT_S < after_sighup
+    assert min(discovery.DATA_TIMEOUT_S, discovery.FIRST_DATA_TIMEOUT_S) > 2.0
+    again = MIN_DELAY_SECONDS + discovery.FIRST_DATA_TIMEOUT_S + 2 * MIN_DELAY_SECONDS
+    assert discovery.DATA_TIMEOUT_S + again < counts_as_delivered
+    assert discovery.FIRST_DATA_TIMEOUT_S + pause + discovery.AGENT_RESPONSE_TIMEOUT_S < after_sighup
     assert pause < grace  # an agent that is back sends its updates at once
 
 
@@ -116,9 +116,9 @@
 
 def test_the_policy_assumes_the_timeouts_of_the_watch() -> None:
     """The policy bounds its polling delays by the longest call and the longest silence."""
-    longest_call_s = max(discovery.SHARED_RESPONSE_TIMEOUT_S, discovery.FIRST_LINE_TIMEOUT_S)
+    longest_call_s = max(discovery.SHARED_RESPONSE_TIMEOUT_S, discovery.FIRST_DATA_TIMEOUT_S)
     assert longest_call_s * 1e9 <= discovery_polling.CALL_TIMEOUT_NS
-    assert discovery.LINE_TIMEOUT_S * 1e9 <= discovery_polling.WATCH_SILENCE_NS
+    assert discovery.DATA_TIMEOUT_S * 1e9 <= discovery_polling.WATCH_SILENCE_NS
     assert (
         discovery_polling.WATCH_SILENCE_NS
         + discovery_polling.MIN_BACKOFF_NS
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -53,7 +53,7 @@
 # The program, but it waits for a slow agent.
 PATIENT = (
     "import sys, moleport.__main__ as program, moleport.node.discovery_watch as discovery;"
-    "discovery.AGENT_RESPONSE_TIMEOUT_S = discovery.FIRST_LINE_TIMEOUT_S = 60.0; sys.exit(program.main())"
+    "discovery.AGENT_RESPONSE_TIMEOUT_S = discovery.FIRST_DATA_TIMEOUT_S = 60.0; sys.exit(program.main())"
 )
 
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from moleport.config.endpoints import DiscoveredEndpoint
-from moleport.node.server_start_times import MAX_REMOVED_SERVERS, ServerStartTimes
+from moleport.node.server_start_times import FORGET_THRESHOLD_SERVERS, ServerStartTimes
 from moleport.policy.interface import EndpointState
 
 MS = 1_000_000
@@ -75,5 +75,5 @@
     for number in range(5000):
         recorded(times, NOW + number, endpoint(f"left-{number}", REPORTED_MS + number))
         times.forget_removed(listed)
-    assert len(times._starts) <= MAX_REMOVED_SERVERS + 2 * len(listed)
+    assert len(times._starts) <= FORGET_THRESHOLD_SERVERS + 2 * len(listed)
     assert [times.started_at_ns(endpoint(name, REPORTED_MS)) for name in listed] == [NOW] * 10
