--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -14,10 +14,8 @@
 from moleport.node.server_connection import ServerConnection
 from moleport.policy.interface import AttemptResult, EndpointId
 from moleport.telemetry import Event
+from moleport.units import NS_PER_MS, NS_PER_SECOND, NS_PER_US
 
-NS_PER_MS = 1_000_000
-NS_PER_S = 1e9
-NS_PER_US = 1000
 MS_PER_S = 1000
 BACKOFF_BASE_S = 0.0025  # doubled for each local fault in connecting: the first backoff is twice this
 MAX_BACKOFF_DOUBLINGS = 4
@@ -136,7 +134,7 @@
     def start(self) -> None:
         """Begin the attempt; it may end within this call."""
         if self.write_deadline_ns:
-            remaining_s = max(0, self.write_deadline_ns - monotonic_ns()) / NS_PER_S
+            remaining_s = max(0, self.write_deadline_ns - monotonic_ns()) / NS_PER_SECOND
             self._write_timer = asyncio.get_running_loop().call_later(remaining_s, self.give_up_unwritten)
         self._acquire_connection()
 
@@ -242,7 +240,7 @@
             self.pool.pools.close_longest_idle()
         doublings = min(self._local_fault_count, MAX_BACKOFF_DOUBLINGS)
         backoff_s = min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2**doublings)
-        self.effective_start_ns += int(backoff_s * NS_PER_S)  # not part of the server's response time
+        self.effective_start_ns += int(backoff_s * NS_PER_SECOND)  # not part of the server's response time
         self._permission_timer = asyncio.get_running_loop().call_later(backoff_s, self._acquire_connection)
 
     # Writing.
--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -31,8 +31,8 @@
 from moleport.node.request import ClientRequest
 from moleport.node.request_parser import RequestParser
 from moleport.telemetry import Event
+from moleport.units import NS_PER_SECOND
 
-NS_PER_S = 1e9
 PAUSED_CHECK_SECONDS = 0.05
 MAX_WRITE_SECONDS = 10.0  # for the client to take a response to a request without a deadline
 MAX_LINGERING_BYTES = 128 << 10  # read and dropped after the last response
@@ -308,7 +308,7 @@
     def _limit_write_time(self, transport: asyncio.Transport) -> None:
         """Abort the connection at the request's deadline: its client has given up by then."""
         if self._deadline_ns:
-            remaining_s = (self._deadline_ns - monotonic_ns()) / NS_PER_S
+            remaining_s = (self._deadline_ns - monotonic_ns()) / NS_PER_SECOND
         else:
             remaining_s = MAX_WRITE_SECONDS
         self._slow_reader = self._loop.call_later(max(0.0, remaining_s), transport.abort)
--- a/moleport/node/connection_pools.py
+++ b/moleport/node/connection_pools.py
@@ -9,8 +9,8 @@
 from moleport.node.connection_pool import ConnectionPool
 from moleport.node.error_codes import Fault, fault_of
 from moleport.policy.interface import EndpointId
+from moleport.units import NS_PER_SECOND
 
-NS_PER_S = 1e9
 IDLE_TIMEOUT_FRACTION = 0.9  # of the server's idle timeout: a request that is written after that is lost
 MIN_UNREACHABLE_SERVERS = 2  # as many without a route (or all, if fewer) mean that the network is at fault
 
@@ -27,7 +27,7 @@
         self._max_sockets = max_sockets
         self._pools: dict[EndpointId, ConnectionPool] = {}
         self._unreachable: set[tuple[str, int]] = set()  # addresses without a route since the last success
-        self._sweep_interval_s = idle_timeout_ns * (1 - IDLE_TIMEOUT_FRACTION) / 2 / NS_PER_S
+        self._sweep_interval_s = idle_timeout_ns * (1 - IDLE_TIMEOUT_FRACTION) / 2 / NS_PER_SECOND
 
     def start(self) -> None:
         """Schedule the next sweep of idle connections on the running event loop."""
--- a/moleport/node/graceful_shutdown.py
+++ b/moleport/node/graceful_shutdown.py
@@ -16,8 +16,8 @@
 from moleport.config.node_config import Config
 from moleport.node.dispatcher import Dispatcher
 from moleport.node.listener import ACCEPT_BATCH_CONNECTIONS, BACKLOG_CONNECTIONS, Listener
+from moleport.units import NS_PER_SECOND
 
-NS_PER_S = 1e9
 MIN_SERVE_ON_SECONDS = 0.6  # new connections go on coming for up to 0.4 s
 MAX_DEADLINE_SECONDS = 3.0  # the platform waits for no longer deadline
 KILL_DELAY_SECONDS = 0.7  # from the end of the longest deadline to SIGKILL, at least
@@ -43,10 +43,10 @@
     weight; the class with the longest such time counts.
     """
     useful_spans = [
-        kind.latency_objective_ns / NS_PER_S if not kind.late_weight_ratio else MAX_DEADLINE_SECONDS
+        kind.latency_objective_ns / NS_PER_SECOND if not kind.late_weight_ratio else MAX_DEADLINE_SECONDS
         for kind in config.policy_settings.classes
     ]
-    longest_deadline = min(MAX_DEADLINE_SECONDS, max(config.max_deadlines_ns) / NS_PER_S)
+    longest_deadline = min(MAX_DEADLINE_SECONDS, max(config.max_deadlines_ns) / NS_PER_SECOND)
     finish_within = longest_deadline + KILL_DELAY_SECONDS - KILL_MARGIN_SECONDS
     serve_on = max(MIN_SERVE_ON_SECONDS, finish_within - min(longest_deadline, max(useful_spans)))
     return ShutdownPlan(serve_on, finish_within)
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -14,9 +14,8 @@
 from time import monotonic_ns
 
 from moleport.telemetry import Event, Telemetry
+from moleport.units import NS_PER_MS, NS_PER_SECOND
 
-NS_PER_MS = 1_000_000
-NS_PER_S = 1e9
 HEARTBEAT_PERIOD_NS = 20 * NS_PER_MS  # also the delay above which a heartbeat counts towards the sum
 MIN_HOLD_NS = 100 * NS_PER_MS  # longer than a busy loop delays a heartbeat
 SETTLE_DELAY_S = 0.001  # after the first delayed timer: the loop has read its sockets once by then
@@ -36,7 +35,7 @@
     def start(self) -> None:
         """Schedule the heartbeat on the event loop."""
         self._last_heartbeat_ns = monotonic_ns()
-        self._loop.call_later(HEARTBEAT_PERIOD_NS / NS_PER_S, self._on_heartbeat)
+        self._loop.call_later(HEARTBEAT_PERIOD_NS / NS_PER_SECOND, self._on_heartbeat)
 
     def _on_heartbeat(self) -> None:
         """Add a delay to the sum of holds, and schedule the next heartbeat."""
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from moleport.policy.interface import Idempotency
+from moleport.units import NS_PER_MS
 
-NS_PER_MS = 1_000_000
 MAX_DISCONNECT_LATENCY_NS = 100 * NS_PER_MS  # after a client's disconnection an attempt may still begin
 DEADLINE_TOLERANCE_NS = 150 * NS_PER_MS
 
--- a/moleport/node/kernel_socket.py
+++ b/moleport/node/kernel_socket.py
@@ -6,7 +6,8 @@
 import socket
 import sys
 
-NS_PER_MS = 1_000_000
+from moleport.units import NS_PER_MS
+
 LAST_DATA_RECEIVED = slice(52, 56)  # tcpi_last_data_recv in struct tcp_info: a u32, in ms
 
 
--- a/moleport/node/policy_timers.py
+++ b/moleport/node/policy_timers.py
@@ -7,8 +7,8 @@
 from time import monotonic_ns
 
 from moleport.policy import interface as api
+from moleport.units import NS_PER_MS
 
-NS_PER_MS = 1_000_000
 RETRY_AFTER_FAILURE_NS = 1_000 * NS_PER_MS
 
 
--- a/moleport/node/reconnect_backoff.py
+++ b/moleport/node/reconnect_backoff.py
@@ -4,6 +4,8 @@
 
 from random import Random
 
+from moleport.units import NS_PER_SECOND
+
 MIN_DELAY_SECONDS = 0.03
 MAX_DOUBLINGS = 5
 # The drain grace runs from when discovery receives an update, even while the node has no watch open: the
@@ -27,7 +29,7 @@
 
     def next_delay_seconds(self) -> float:
         """Count a failure and return the delay after it, in seconds."""
-        max_delay = max(MIN_DELAY_SECONDS, MAX_DRAIN_GRACE_FRACTION * self._drain_grace_ns / 1e9)
+        max_delay = max(MIN_DELAY_SECONDS, MAX_DRAIN_GRACE_FRACTION * self._drain_grace_ns / NS_PER_SECOND)
         delay = MIN_DELAY_SECONDS * (1 << min(self.failure_count, MAX_DOUBLINGS))
         self.failure_count += 1
         return min(max_delay, delay) * self._random.uniform(MIN_JITTER_FACTOR, 1.0)
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -17,8 +17,8 @@
 from moleport.node.attempt import Attempt
 from moleport.policy import interface as api
 from moleport.telemetry import Event, Telemetry
+from moleport.units import NS_PER_MS, NS_PER_SECOND
 
-NS_PER_MS = 1_000_000
 RESPONSE_TRANSIT_NS = 5 * NS_PER_MS
 """A final response is sent this long before the client's deadline, to reach the client in time."""
 
@@ -68,7 +68,7 @@
 
 def retry_after_headers(delay_ns: int) -> Headers:
     """Return a Retry-After header in seconds, or no header for a delay of 0."""
-    return [(b"Retry-After", b"%.3f" % (delay_ns / 1e9))] if delay_ns else []
+    return [(b"Retry-After", b"%.3f" % (delay_ns / NS_PER_SECOND))] if delay_ns else []
 
 
 class RequestRegistry:
@@ -115,7 +115,7 @@
             self.active[request.request_number] = request
             self._request_ids.add(client_request.request_id)
             request.watchdog = self._loop.call_later(
-                (client_request.deadline_ns - now) / 1e9, self._on_deadline, request
+                (client_request.deadline_ns - now) / NS_PER_SECOND, self._on_deadline, request
             )
             self._dispatch_event(
                 api.Request(
--- a/moleport/node/request_validation.py
+++ b/moleport/node/request_validation.py
@@ -9,9 +9,10 @@
 from moleport.node.http_limits import MAX_BODY_BYTES
 from moleport.node.parsed_request import API_PATH, READINESS_PATH, ParsedRequest
 from moleport.policy.interface import Idempotency
+from moleport.units import NS_PER_MS, NS_PER_US
 
 DEADLINE_FORMAT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
-NS_PER_DEADLINE_UNIT = {b"m": 1_000_000, b"u": 1_000}
+NS_PER_DEADLINE_UNIT = {b"m": NS_PER_MS, b"u": NS_PER_US}
 REQUEST_ID_FORMAT = re.compile(rb"[0-9A-Za-z._:~-]{1,64}")
 
 
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -22,8 +22,8 @@
 
 from moleport.config.endpoints import DiscoveredEndpoint
 from moleport.policy.interface import EndpointState
+from moleport.units import NS_PER_MS
 
-NS_PER_MS = 1_000_000
 FORGET_THRESHOLD_SERVERS = 1024  # removed ones are remembered up to it, as a server may return
 
 
