--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -37,7 +37,7 @@
 class AttemptOwner(Protocol):
     """The party that starts attempts, permits their writes and takes their results."""
 
-    def check_write_permission(self, attempt: Attempt) -> WritePermission:
+    def authorize_write(self, attempt: Attempt) -> WritePermission:
         """Return whether the attempt may connect, or write, now."""
         ...
 
@@ -188,7 +188,7 @@
 
     def _has_permission(self, retry: Callable[[], None]) -> bool:
         """Return whether the owner permits to go on; if it wants the attempt to wait, schedule `retry`."""
-        permission = self._owner.check_write_permission(self)
+        permission = self._owner.authorize_write(self)
         if permission is WritePermission.DENIED:
             self.end(AttemptResult.NOT_SENT)
         elif permission is WritePermission.WAIT:
--- a/moleport/node/attempt_supervisor.py
+++ b/moleport/node/attempt_supervisor.py
@@ -11,7 +11,7 @@
 from moleport.node.hold_detector import HoldDetector
 from moleport.node.invariants import RequestWrite, violated_invariants
 from moleport.node.load_report import LoadReportParser
-from moleport.node.request import RESPONSE_TRANSIT_NS, ActiveRequest, RequestRegistry
+from moleport.node.request import RESPONSE_TRANSIT_NS, PendingRequest, RequestRegistry
 from moleport.node.response_parser import ServerResponse
 from moleport.policy import interface as api
 from moleport.policy.interface import NOT_EXECUTED, AttemptResult, EndpointId
@@ -84,7 +84,7 @@
             )
         )
 
-    def check_write_permission(self, attempt: Attempt) -> WritePermission:
+    def authorize_write(self, attempt: Attempt) -> WritePermission:
         """Decide whether an attempt may connect or write now.
 
         The only check ahead of all that is sent to servers. Asked before each connect and each write, as the
@@ -177,7 +177,7 @@
         )
 
     def _forward_response(
-        self, request: ActiveRequest, result: AttemptResult, response: ServerResponse
+        self, request: PendingRequest, result: AttemptResult, response: ServerResponse
     ) -> None:
         if result is AttemptResult.OK:
             self._requests.send_final_response(request.request_number, 200, response.headers, response.body)
--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -4,7 +4,7 @@
 
 - `connection_lost`: the event loop reports that the connection is closed or reset.
 - `eof_received`: the event loop reports that the client has shut down its sending side.
-- `has_disconnected`: `AttemptSupervisor.check_write_permission` asks the kernel before a connection to a
+- `has_disconnected`: `AttemptSupervisor.authorize_write` asks the kernel before a connection to a
   server is opened or a request is written, because an end of stream behind unread data, or one that a
   delayed event loop has not read yet, is known to the kernel only.
 - `_check_while_paused`: while reading is paused, the kernel is asked every `PAUSED_CHECK_SECONDS`.
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class ActiveRequest:
+class PendingRequest:
     """A request that has no final response yet, or has attempts in flight."""
 
     request_number: int
@@ -85,7 +85,7 @@
         self._request_ids: set[bytes] = set()  # of the active requests
         self._last_request_number = 0
         self._is_shutting_down = False
-        self.active: dict[int, ActiveRequest] = {}  # by request number
+        self.active: dict[int, PendingRequest] = {}  # by request number
 
     # Acceptance.
 
@@ -96,7 +96,7 @@
         """
         self._last_request_number += 1
         now = monotonic_ns()
-        request = ActiveRequest(self._last_request_number, client_request)
+        request = PendingRequest(self._last_request_number, client_request)
         self._telemetry.count(
             Event.REQUEST_RECEIVED, request=request.request_number, id=client_request.request_id
         )
@@ -195,17 +195,17 @@
         for request in list(self.active.values()):
             self._on_deadline(request)
 
-    def _on_deadline(self, request: ActiveRequest) -> None:
+    def _on_deadline(self, request: PendingRequest) -> None:
         self._fail(request, 504)
 
-    def _fail(self, request: ActiveRequest, status: int) -> None:
+    def _fail(self, request: PendingRequest, status: int) -> None:
         if request.is_answered:
             return
         self._telemetry.count(Event.REQUEST_OVERDUE, request=request.request_number, status=status)
         request.client_request.client.send_response(status, [], b"")
         self._end_early(request)
 
-    def _end_early(self, request: ActiveRequest) -> None:
+    def _end_early(self, request: PendingRequest) -> None:
         """End a request without a decision of the policy: notify the policy and cancel all attempts."""
         self._mark_answered(request)
         self._dispatch_event(api.ClientDisconnected(request.request_number))
@@ -221,13 +221,13 @@
             request.client_request.client.send_response(status, headers, body)
             self._mark_answered(request)
 
-    def _mark_answered(self, request: ActiveRequest) -> None:
+    def _mark_answered(self, request: PendingRequest) -> None:
         request.is_answered = True
         if request.watchdog is not None:
             request.watchdog.cancel()
         self.remove_if_done(request)
 
-    def remove_if_done(self, request: ActiveRequest) -> None:
+    def remove_if_done(self, request: PendingRequest) -> None:
         """Remove a request that is answered and has no attempt in flight."""
         if not request.is_answered or request.attempts:
             return
--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -37,7 +37,7 @@
 from moleport.policy.load_reports import LoadReports
 from moleport.policy.quotas import TenantQuotas
 from moleport.policy.slow_start import SlowStart
-from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
+from moleport.policy.state import ActiveRequest, AttemptRecord, EndpointStatus
 
 INITIAL_IN_FLIGHT_REQUESTS = 10.0  # for each endpoint: the threshold until the first window with samples
 MIN_IN_FLIGHT_REQUESTS = 0.3  # for each endpoint, of one class
@@ -98,7 +98,9 @@
         self.in_flight.add(now_ns, 1)
         self.breakers[class_index].in_flight.add(now_ns, 1)
 
-    def on_attempt_ended(self, now_ns: int, class_index: int, attempt: Attempt, elapsed_ns: int) -> None:
+    def on_attempt_ended(
+        self, now_ns: int, class_index: int, attempt: AttemptRecord, elapsed_ns: int
+    ) -> None:
         """Count an attempt as no longer in flight; after a time-out with a delay of its own duration.
 
         The delay is at most the latency objective. An endpoint may go on with a request after its time-out,
@@ -125,7 +127,7 @@
         return elapsed_ns < min(self.typical_ns(active.request.class_index), target_ns)
 
     def record_response(
-        self, now_ns: int, active: ActiveRequest, attempt: Attempt, elapsed_ns: int, is_retried: bool
+        self, now_ns: int, active: ActiveRequest, attempt: AttemptRecord, elapsed_ns: int, is_retried: bool
     ) -> None:
         """Take the time of an attempt that has ended as a sample of its class.
 
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -36,7 +36,7 @@
 from moleport.policy.retries import RetryPolicy
 from moleport.policy.selection import EndpointSelector
 from moleport.policy.slow_start import SlowStart
-from moleport.policy.state import ActiveRequest, Attempt, EndpointStatus
+from moleport.policy.state import ActiveRequest, AttemptRecord, EndpointStatus
 from moleport.policy.timing import WINDOW_NS, jittered_ns
 
 MIN_TIMEOUT_NS = 1
@@ -207,13 +207,13 @@
         timeout_ns = max(MIN_TIMEOUT_NS, active.useful_until_ns - now_ns)
         write_deadline_ns = active.write_deadline_ns()
         self._actions.emit(api.Forward(active.request.id, status.endpoint.id, timeout_ns, write_deadline_ns))
-        active.attempts.append(Attempt(status, now_ns, idle_ns))
+        active.attempts.append(AttemptRecord(status, now_ns, idle_ns))
         self._outliers.on_attempt_sent(status)
         self._slow_start.on_attempt_sent(now_ns, status)
         self._admission.on_attempt_sent(now_ns, active.request.class_index, status)
 
     def _record_evidence(
-        self, now_ns: int, active: ActiveRequest, attempt: Attempt, outcome: api.AttemptOutcome
+        self, now_ns: int, active: ActiveRequest, attempt: AttemptRecord, outcome: api.AttemptOutcome
     ) -> bool:
         """Record what the outcome shows, and return whether it shows the state of the endpoint."""
         is_lost_on_idle = self._connections.on_attempt_ended(now_ns, attempt)
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -24,7 +24,7 @@
 from moleport.policy import interface as api
 from moleport.policy.actions import ActionBuffer
 from moleport.policy.interface import AttemptResult
-from moleport.policy.state import Attempt, EndpointStatus
+from moleport.policy.state import AttemptRecord, EndpointStatus
 
 MAX_FRESH_IDLE_NS = 250_000_000  # a connection that idled for less is as good as a new one
 LOSS_EWMA_WEIGHT = 0.2
@@ -72,7 +72,7 @@
             self._actions.emit(api.CloseIdleConnections(status.endpoint.id))
         return idle_ns
 
-    def on_attempt_ended(self, now_ns: int, attempt: Attempt) -> bool:
+    def on_attempt_ended(self, now_ns: int, attempt: AttemptRecord) -> bool:
         """Update the rates, and return whether a connection dropped while idle lost the attempt."""
         result = attempt.result
         if result is AttemptResult.NOT_SENT:
@@ -88,7 +88,7 @@
             return False
         return self._is_lost_on_idle(now_ns, attempt, is_lost)
 
-    def _is_lost_on_idle(self, now_ns: int, attempt: Attempt, is_lost: bool) -> bool:
+    def _is_lost_on_idle(self, now_ns: int, attempt: AttemptRecord, is_lost: bool) -> bool:
         is_timeout = attempt.result is AttemptResult.TIMEOUT
         weight = IDLE_TIMEOUT_EWMA_WEIGHT if is_timeout else LOSS_EWMA_WEIGHT
         self._idle_loss_rate += weight * (is_lost - self._idle_loss_rate)
--- a/moleport/policy/state.py
+++ b/moleport/policy/state.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class AttemptRecord:
     """One attempt to have a request answered by an endpoint. Owner: balancer."""
 
     status: EndpointStatus
@@ -88,7 +88,7 @@
     request_class: api.RequestClass
     useful_until_ns: int
     """Time after which an answer has no value, so that none is waited for."""
-    attempts: list[Attempt] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
     is_closed: bool = False
     """The client has its final answer or has disconnected. Owners: balancer, final_answers."""
 
@@ -96,7 +96,7 @@
         """Return whether the request is closed and has no attempt in flight."""
         return self.is_closed and all(attempt.result is not None for attempt in self.attempts)
 
-    def maybe_executed_attempts(self) -> list[Attempt]:
+    def maybe_executed_attempts(self) -> list[AttemptRecord]:
         """Return the attempts that an endpoint may have executed, in the order of sending."""
         return [attempt for attempt in self.attempts if attempt.result not in NOT_EXECUTED]
 
@@ -129,7 +129,7 @@
             return 0
         return executed[0].sent_at_ns + self.request_class.deduplication_window_ns - REPEAT_TRANSIT_NS
 
-    def _is_repeat_dropped(self, endpoint: api.Endpoint, earlier: Attempt, now_ns: int) -> bool:
+    def _is_repeat_dropped(self, endpoint: api.Endpoint, earlier: AttemptRecord, now_ns: int) -> bool:
         if self.request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return False
         if not self.request.key or now_ns >= self.write_deadline_ns():
