--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -1,15 +1,15 @@
-"""One client's connection: reads its requests, has them served in order, and writes the responses.
+"""One client's connection: reads its requests, passes them on one at a time, and writes the responses.
 
-A client's departure is noticed in four places:
+A client's disconnection is detected in four places:
 
 - `connection_lost`: the event loop reports that the connection is closed or reset.
 - `eof_received`: the event loop reports that the client has shut down its sending side.
-- `has_disconnected`: `AttemptSupervisor.authorize_write` asks the kernel before a connection to a
-  server is opened or a request is written, because an end of stream behind unread data, or one that a
-  delayed event loop has not read yet, is known to the kernel only.
-- `_check_while_paused`: while reading is paused, the kernel is asked every `PAUSED_CHECK_SECONDS`.
+- `has_disconnected`: `AttemptSupervisor.authorize_write` asks the kernel before it opens a
+  connection to a server and before it writes a request. Only the kernel knows of an end of stream that is
+  behind unread data, or that a delayed event loop has not read yet.
+- `_check_while_paused`: while reading is paused, it polls the kernel every `PAUSED_CHECK_SECONDS`.
 
-`RequestRegistry` learns of it by `on_client_disconnected` (the client gets no response) or by
+It is reported to `RequestRegistry` by `on_client_disconnected` (the client gets no response) or by
 `on_client_half_closed` (the client may still read one).
 """
 
@@ -34,20 +34,20 @@
 from moleport.units import NS_PER_SECOND
 
 PAUSED_CHECK_SECONDS = 0.05
-MAX_WRITE_SECONDS = 10.0  # for the client to take a response to a request without a deadline
-MAX_LINGERING_BYTES = 128 << 10  # read and dropped after the last response
+MAX_WRITE_SECONDS = 10.0  # for a client to read a response to a request without a deadline
+MAX_LINGERING_BYTES = 128 << 10  # of data that is read and discarded after the last response
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class ClientContext:
-    """What all client connections of a node share."""
+    """The dispatcher, configuration, table and shutdown state that all client connections share."""
 
     __slots__ = ("config", "dispatcher", "is_draining", "is_stopping", "table")
 
     def __init__(self, dispatcher: Dispatcher, config: Config, table: ConnectionTable) -> None:
-        """Create the context of a node that is not shutting down."""
+        """Create the context for a node that is not shutting down."""
         self.dispatcher = dispatcher
         self.config = config
         self.table = table
@@ -56,7 +56,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection; its requests are served one after the other."""
+    """One client's connection; its requests are processed one at a time."""
 
     def __init__(self, context: ClientContext, earliest_arrival_ns: int) -> None:
         """Create the protocol of an accepted connection.
@@ -65,100 +65,105 @@
         """
         self._context = context
         self._table = context.table
-        # Lower bound for the arrival of what is unread in the kernel, monotonic ns; 0: nothing old is unread.
-        self._unread_since_ns = earliest_arrival_ns
+        # Lower bound (monotonic ns) of when the data unread in the kernel arrived; 0: none is known to wait.
+        self._earliest_unread_arrival_ns = earliest_arrival_ns
         self._peer_shutdown_poll = select.poll()
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = RequestParser(context.config)
-        self._request_number = 0  # given by the `RequestRegistry` to the request that is served; 0: none
-        self._is_busy = False  # a request is unanswered, or its response is not written out
+        self._request_number = 0  # of the request in progress, set by `RequestRegistry`; 0: none
+        self._is_busy = False  # a request is unanswered, or its response is not fully written
         self._keep_alive = True
-        self._is_ending = False  # nothing more is parsed
-        self._half_closed = False  # the client sends no more
-        self._dropped_bytes = 0
-        self._deadline_ns = 0  # monotonic, of the request that is served; 0: none
-        self._slow_reader: asyncio.TimerHandle | None = None  # ends a client that does not take its response
+        self._is_closing = False  # after the last response or a lost connection: nothing more is parsed
+        self._is_half_closed = False  # the client has shut down its sending side
+        self._discarded_bytes = 0
+        self._deadline_ns = 0  # monotonic, of the request in progress; 0: none
+        self._write_timer: asyncio.TimerHandle | None = None  # aborts if a response is not read in time
         self._is_advancing = False  # _advance is running
         self._is_paused = False
-        self._paused_check: asyncio.TimerHandle | None = None
+        self._paused_check_timer: asyncio.TimerHandle | None = None
 
     # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to serve the connection."""
-        self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        transport.set_write_buffer_limits(high=0)  # resume_writing reports that a response is written out
+        """Register the connection and bound the arrival time of data that it has not read yet."""
+        self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
+        transport.set_write_buffer_limits(high=0)  # resume_writing reports a full write
         now = monotonic_ns()
-        if now - self._unread_since_ns < MIN_HOLD_NS or not self._is_readable():
-            self._unread_since_ns = 0
+        if now - self._earliest_unread_arrival_ns < MIN_HOLD_NS or not self._is_readable():
+            self._earliest_unread_arrival_ns = 0
         else:
-            # The accept queue may have waited for long, and this client not.
-            age = last_data_age_ns(transport.get_extra_info("socket"))
-            if age is not None:
-                self._unread_since_ns = max(self._unread_since_ns, now - age)
+            # The lower bound is that of the whole accept queue; this client may have connected much later.
+            data_age_ns = last_data_age_ns(transport.get_extra_info("socket"))
+            if data_age_ns is not None:
+                self._earliest_unread_arrival_ns = max(self._earliest_unread_arrival_ns, now - data_age_ns)
         self._peer_shutdown_poll.register(self._descriptor(), select.POLLRDHUP)
         self._table.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Handle the client's departure: its connection is closed or reset."""
-        self._is_ending = True
+        """Report the client's disconnection: its connection is closed or reset."""
+        self._is_closing = True
         self._parser.close()
-        if self._slow_reader is not None:
-            self._slow_reader.cancel()
+        if self._write_timer is not None:
+            self._write_timer.cancel()
         request_number, self._request_number = self._request_number, 0
         if request_number:
             self._context.dispatcher.on_client_disconnected(request_number)
         self._table.on_disconnected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the client sent and serve its next request."""
-        if self._is_ending:
-            self._drop(data)
+        """Parse the client's data and process its next request."""
+        if self._is_closing:
+            self._discard(data)
             return
-        arrived = self._context.dispatcher.hold_detector.earliest_arrival()
-        self._parser.feed(data, min(arrived, self._unread_since_ns) if self._unread_since_ns else arrived)
+        earliest_arrival_ns = self._context.dispatcher.hold_detector.earliest_arrival()
+        self._parser.feed(
+            data,
+            min(earliest_arrival_ns, self._earliest_unread_arrival_ns)
+            if self._earliest_unread_arrival_ns
+            else earliest_arrival_ns,
+        )
         self._advance()
         if not self._is_paused:
-            self._unread_since_ns = 0
+            self._earliest_unread_arrival_ns = 0
 
-    def _drop(self, data: bytes) -> None:
-        """Ignore what a client sends after its last response, up to a limit."""
-        self._dropped_bytes += len(data)
-        if self._dropped_bytes > MAX_LINGERING_BYTES:
+    def _discard(self, data: bytes) -> None:
+        """Discard data that follows the last response; abort after `MAX_LINGERING_BYTES`."""
+        self._discarded_bytes += len(data)
+        if self._discarded_bytes > MAX_LINGERING_BYTES:
             self.abort()
 
     def eof_received(self) -> bool:
-        """Handle the end of the client's sending; return whether the connection stays open for a response.
+        """Handle the client's half-close; return whether the connection stays open for a response.
 
-        A client may shut down its sending side and wait for the response to a complete request. As most
-        clients that do so have closed, nothing that is not forwarded yet is forwarded any more.
+        A half-closed client may still wait for the response to a complete request. As most clients that look
+        half-closed have closed the connection, a request that is not forwarded yet will not be forwarded.
         """
-        self._half_closed = True
+        self._is_half_closed = True
         self._report_half_close()
-        is_waiting = self._is_busy or bool(self._parser.ready) or self._parser.has_unparsed()
-        return is_waiting and not self._is_ending
+        has_pending_request = self._is_busy or bool(self._parser.ready) or self._parser.has_unparsed()
+        return has_pending_request and not self._is_closing
 
     def resume_writing(self) -> None:
-        """Handle that a response is written out which the client took more slowly than it was written."""
-        if self._slow_reader is not None:
-            self._slow_reader.cancel()
-            self._slow_reader = None
+        """Continue after a buffered response is fully written, which a slowly reading client had delayed."""
+        if self._write_timer is not None:
+            self._write_timer.cancel()
+            self._write_timer = None
             self._on_response_written()
 
-    # Departures that the event loop has not reported.
+    # Disconnections that the event loop has not reported.
 
     def has_disconnected(self) -> bool:
-        """Ask the kernel whether the client has shut down its sending side or closed the connection."""
+        """Return whether the client has half-closed or closed the connection, as the kernel reports it."""
         transport = self._transport
-        if not self._half_closed and transport is not None and not transport.is_closing():
-            self._half_closed = bool(self._peer_shutdown_poll.poll(0))
-            return self._half_closed
+        if not self._is_half_closed and transport is not None and not transport.is_closing():
+            self._is_half_closed = bool(self._peer_shutdown_poll.poll(0))
+            return self._is_half_closed
         return True
 
     def _check_while_paused(self) -> None:
-        """Ask the kernel for the client's departure, and again until reading is resumed."""
-        self._paused_check = None
+        """Check whether the client has disconnected; repeat this until reading is resumed."""
+        self._paused_check_timer = None
         if self._transport is None or not self._is_paused or self._transport.is_closing():
             return
         if is_reset(self._descriptor()):
@@ -166,7 +171,7 @@
             return
         if self.has_disconnected():
             self._report_half_close()
-        self._paused_check = self._loop.call_later(PAUSED_CHECK_SECONDS, self._check_while_paused)
+        self._paused_check_timer = self._loop.call_later(PAUSED_CHECK_SECONDS, self._check_while_paused)
 
     def _report_half_close(self) -> None:
         if self._request_number:
@@ -180,25 +185,25 @@
     def _is_readable(self) -> bool:
         return is_readable(self._descriptor())
 
-    # Requests in order.
+    # Requests, processed in order of arrival.
 
     def _advance(self) -> None:
-        """Serve the requests that are ready, pause or resume reading, and report the connection's state."""
+        """Process the parsed requests, pause or resume reading, and report the state to the table."""
         transport = self._transport
         if transport is None or self._is_advancing:
-            return  # a response that was written at once is handled by the loop below, not by recursion
+            return  # after a response that was written at once, the loop in _serve_ready continues
         self._is_advancing = True
         self._serve_ready(transport)
         self._is_advancing = False
-        if self._is_ending or transport.is_closing():
+        if self._is_closing or transport.is_closing():
             return
         parser = self._parser
-        # While requests are waiting nothing more is read: what a client sends ahead stays in the kernel.
+        # Nothing is read while requests are waiting: pipelined requests stay in the kernel's buffer.
         if self._is_paused != bool(parser.ready or parser.has_unparsed()):
             self._toggle_reading(transport)
         if self._is_busy:
             return
-        if self._half_closed:
+        if self._is_half_closed:
             self.close()
         elif parser.has_partial_request():
             self._table.mark_reading(self)
@@ -208,16 +213,16 @@
             self._table.mark_idle(self)
 
     def _serve_ready(self, transport: asyncio.Transport) -> None:
-        """Serve the parsed requests until one waits for its response or none is left."""
+        """Process parsed requests until one waits for its response or none is left."""
         parser = self._parser
-        while not self._is_busy and not self._is_ending and not transport.is_closing():
+        while not self._is_busy and not self._is_closing and not transport.is_closing():
             parser.parse_buffered()
             if parser.ready:
                 self._is_busy = True
                 self._table.mark_active(self)
                 self._serve(parser.ready.popleft())
             elif parser.error_status:
-                # Nothing that follows the error can be parsed; the requests before it are answered by now.
+                # The data behind the error can't be parsed; all requests before it have been answered.
                 self._is_busy = True
                 self._keep_alive = False
                 self.send_response(parser.error_status, [], b"")
@@ -229,17 +234,17 @@
         self._is_paused = not self._is_paused
         if not self._is_paused:
             if not self._is_readable():
-                self._unread_since_ns = 0
+                self._earliest_unread_arrival_ns = 0
             transport.resume_reading()
             return
-        if not self._unread_since_ns or not self._is_readable():
-            self._unread_since_ns = monotonic_ns()
+        if not self._earliest_unread_arrival_ns or not self._is_readable():
+            self._earliest_unread_arrival_ns = monotonic_ns()
         transport.pause_reading()
-        if self._paused_check is None:
+        if self._paused_check_timer is None:
             self._check_while_paused()
 
     def _serve(self, parsed: ParsedRequest) -> None:
-        """Answer a readiness check, or hand the request to the dispatcher."""
+        """Answer a readiness check, or pass the request to the dispatcher."""
         self._keep_alive = parsed.keep_alive
         self._deadline_ns = 0
         dispatcher = self._context.dispatcher
@@ -247,7 +252,7 @@
             is_ready = dispatcher.has_endpoints() and not self._context.is_stopping
             self.send_response(200 if is_ready else 503, [], b"")
             return
-        if self._half_closed:
+        if self._is_half_closed:
             self.send_response(503, dispatcher.retry_after_headers(), b"")
             return
         request = self._client_request(parsed)
@@ -257,8 +262,8 @@
             self._request_number = request_number
 
     def _client_request(self, parsed: ParsedRequest) -> ClientRequest:
-        """Return the request in the dispatcher's terms."""
-        fields, tenants = parsed.fields, self._context.config.tenant_indices
+        """Build the request that the dispatcher accepts."""
+        fields, tenants = parsed.header_values, self._context.config.tenant_indices
         key = fields.get(b"x-key")
         return ClientRequest(
             client=self,
@@ -275,90 +280,90 @@
     # Responses.
 
     def send_response(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """Write the response to the request that is served."""
+        """Write the final response of the request in progress."""
         transport = self._transport
         assert transport is not None
         self._request_number = 0
         if transport.is_closing():
             return
-        # A client whose request is at fault would send it again as fast as it is answered.
+        # Closed after a 4xx: a client that repeats an invalid request would do so as fast as it is answered.
         is_client_error = 400 <= status < 500
-        keep = (
+        keep_alive = (
             self._keep_alive
             and not is_client_error
             and not self._context.is_draining
             and not self._table.is_full()
         )
-        # A server may choose a status that is not registered; its reason phrase is empty.
+        # A server may send an unregistered status code; its reason phrase is left empty.
         lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b""))]
         for name, value in headers:
             lines += (name, b": ", value, b"\r\n")
         if status == 405:
             lines.append(b"Allow: GET, POST\r\n")
         lines.append(b"Content-Length: %d\r\n" % len(body))
-        if not keep:
+        if not keep_alive:
             lines.append(b"Connection: close\r\n")
         lines += (b"\r\n", body)
         transport.write(b"".join(lines))
-        self._is_ending = not keep
+        self._is_closing = not keep_alive
         if transport.get_write_buffer_size():
             self._limit_write_time(transport)
         else:
             self._on_response_written()
 
     def _limit_write_time(self, transport: asyncio.Transport) -> None:
-        """Abort the connection at the request's deadline: its client has given up by then."""
+        """Abort the connection at the request's deadline: the client has stopped waiting by then."""
         if self._deadline_ns:
             remaining_s = (self._deadline_ns - monotonic_ns()) / NS_PER_SECOND
         else:
             remaining_s = MAX_WRITE_SECONDS
-        self._slow_reader = self._loop.call_later(max(0.0, remaining_s), transport.abort)
+        self._write_timer = self._loop.call_later(max(0.0, remaining_s), transport.abort)
 
     def _on_response_written(self) -> None:
-        """Go on with the next request, or close the connection."""
+        """Continue with the next request, or close the connection."""
         transport = self._transport
         assert transport is not None
         self._is_busy = False
-        if not self._is_ending:
+        if not self._is_closing:
             self._advance()
-        elif self._half_closed:
+        elif self._is_half_closed:
             transport.close()
         else:
             self._start_lingering_close(transport)
 
     def _start_lingering_close(self, transport: asyncio.Transport) -> None:
-        """Shut down the sending side and wait for the client to close.
+        """Shut down the sending side and wait for the client to close the connection.
 
-        To close with data unread would reset the connection, and the client might lose its response.
+        Closing with unread data would reset the connection, and the client might lose its response.
         """
         if self._is_paused:
             transport.resume_reading()
         transport.write_eof()
         self._table.start_lingering_close(self)
 
-    # Ends that the table or the node asks for.
+    # Closing on behalf of the connection table or the shutdown.
 
     def time_out(self) -> None:
-        """End a connection that has exceeded a time limit; one with a partial request is answered 408."""
+        """Close a connection that has exceeded a time limit; answer 408 to a partial request."""
         telemetry = self._context.dispatcher.telemetry
         if self._parser.has_partial_request():
             telemetry.count(Event.CLIENT_TIMED_OUT)
             self._parser.error_status = HTTPStatus.REQUEST_TIMEOUT
             self._advance()
-        elif self.close_if_quiet():
+        elif self.close_if_nothing_unread():
             telemetry.count(Event.CLIENT_CLOSED_IDLE)
 
     def close(self) -> None:
-        """Close the connection once everything is written."""
+        """Close the connection once all responses are written."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once and drop what is not written yet."""
+        """Close the connection at once and discard unwritten data."""
         if self._transport is not None:
             self._transport.abort()
 
-    def close_if_quiet(self) -> bool:
+    def close_if_nothing_unread(self) -> bool:
         """Close the connection unless it has unread data, which may be a complete request.
 
         Return whether it is closed.
@@ -372,4 +377,4 @@
     def close_if_unused(self) -> None:
         """Close the connection unless it has unread data or a request, complete or partial."""
         if not self._is_busy and not self._parser.ready and not self._parser.has_partial_request():
-            self.close_if_quiet()
+            self.close_if_nothing_unread()
--- a/moleport/node/connection_table.py
+++ b/moleport/node/connection_table.py
@@ -1,4 +1,4 @@
-"""The client connections by state, their time limits, and which one is closed to free its slot."""
+"""Tracks client connections by state, enforces their time limits and closes some to free their slots."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from moleport.telemetry import Event, Telemetry
 
 SWEEP_PERIOD_SECONDS = 0.2
-SETTLING_RETRY_SECONDS = 0.02  # until the next attempt to sweep, after a hold
-MAX_NEW_SECONDS = 2.0  # from connecting to the first complete request
+SWEEP_RETRY_SECONDS = 0.02  # delay of a sweep that is due just after a hold
+MAX_NEW_SECONDS = 2.0  # from the connection's setup to the first complete request
 MAX_READING_SECONDS = 2.0  # from the first to the last byte of a later request
-MAX_IDLE_SECONDS = 2.5  # without a request
-MIN_IDLE_SECONDS = 0.5  # before an idle connection may be closed to keep to MAX_IDLE_RATIO
-MAX_IDLE_RATIO = 0.15  # of all slots, for connections that are idle for longer than MIN_IDLE_SECONDS
-MIN_SILENT_SECONDS = 0.1  # without data, before a connection may be closed to free its slot
-MAX_LINGERING_SECONDS = 1.0
-MAX_LINGERING_RATIO = 0.1  # of all slots
-CROWDED_RATIO = 0.5  # of all slots: while more connections are new, no idle one is closed to free its slot
+MAX_IDLE_SECONDS = 2.5  # between requests
+MIN_IDLE_SECONDS = 0.5  # before an idle connection may be closed to enforce MAX_IDLE_RATIO
+MAX_IDLE_RATIO = 0.15  # of all slots; limits connections idle for longer than MIN_IDLE_SECONDS
+MIN_RECLAIM_AGE_SECONDS = 0.1  # in its state, before a new or idle connection may be closed to free its slot
+MAX_LINGERING_SECONDS = 1.0  # of a lingering close
+MAX_LINGERING_RATIO = 0.1  # of all slots; beyond it the oldest lingering connection is aborted
+IDLE_PROTECTION_RATIO = 0.5  # of all slots; with more new connections than that no idle one is reclaimed
 
 
 class TrackedConnection(Protocol):
-    """A client connection, as the table sees it."""
+    """The interface of a client connection that the table uses."""
 
     def abort(self) -> None:
-        """Close the connection at once and drop what is not written yet."""
+        """Close the connection at once and discard unwritten data."""
         ...
 
     def time_out(self) -> None:
-        """End a connection that has exceeded a time limit."""
+        """Close the connection because it has exceeded a time limit."""
         ...
 
-    def close_if_quiet(self) -> bool:
+    def close_if_nothing_unread(self) -> bool:
         """Close the connection unless it has unread data; return whether it is closed."""
         ...
 
@@ -42,15 +42,16 @@
         ...
 
 
-StartTimes = dict[TrackedConnection, float]
-"""Connections in one state, the longest in it first, with the loop time in s at which they entered it."""
+EntryTimes = dict[TrackedConnection, float]
+"""The connections in one state, each with the loop time in s at which it entered it; oldest first."""
 
 
 class ConnectionTable:
-    """Counts the slots of client connections and knows the state of each connection.
+    """Counts the used slots and tracks the state of each client connection.
 
     A connection is new (no complete request yet), idle, reading (a later request is incomplete), lingering
-    (closed for the client, but what it still sends is read and dropped), or active (a request is served).
+    (its last response is written, and further data of the client is discarded), or active (a complete request
+    is unanswered).
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         hold_detector: HoldDetector,
         on_slot_freed: Callable[[], None],
     ) -> None:
-        """Create an empty table; `on_slot_freed` is called when a connection ends and a slot is free."""
+        """Create an empty table; `on_slot_freed` is called when a connection ends and leaves a free slot."""
         self.max_connections = max_connections
         self.open_count = 0  # slots in use, including connections that are still being set up
         self.connections: set[TrackedConnection] = set()
@@ -68,17 +69,17 @@
         self._hold_detector = hold_detector
         self._on_slot_freed = on_slot_freed
         self._loop = asyncio.get_running_loop()
-        self._new: StartTimes = {}
-        self._idle: StartTimes = {}
-        self._reading: StartTimes = {}
-        self._lingering: StartTimes = {}
+        self._new: EntryTimes = {}
+        self._idle: EntryTimes = {}
+        self._reading: EntryTimes = {}
+        self._lingering: EntryTimes = {}
 
     def has_free_slot(self) -> bool:
         """Return whether a further connection may be accepted."""
         return self.open_count < self.max_connections
 
-    def take_slot(self) -> None:
-        """Count a connection that was accepted."""
+    def acquire_slot(self) -> None:
+        """Count the slot of an accepted connection."""
         self.open_count += 1
 
     def release_slot(self) -> None:
@@ -88,45 +89,46 @@
             self._on_slot_freed()
 
     def is_full(self) -> bool:
-        """Return whether only the end of an active connection could free a slot."""
+        """Return whether no slot is free and no connection is lingering, new or idle."""
         return self.open_count >= self.max_connections and not (self._lingering or self._new or self._idle)
 
     # State changes, reported by the connections.
 
     def on_connected(self, connection: TrackedConnection) -> None:
-        """Add a connection that is ready to be read."""
+        """Add a connection that has been set up."""
         self.connections.add(connection)
         self._new[connection] = self._loop.time()
 
     def on_disconnected(self, connection: TrackedConnection) -> None:
-        """Remove a connection that is closed and free its slot."""
+        """Remove a closed connection and free its slot."""
         self.connections.discard(connection)
         self.mark_active(connection)
         self._lingering.pop(connection, None)
         self.release_slot()
 
     def mark_idle(self, connection: TrackedConnection) -> None:
-        """Note that nothing is being read or served; a new connection stays new."""
+        """Mark a connection that has no request, complete or partial; a new one stays new."""
         if connection in self._new:
             return
         self._reading.pop(connection, None)
         self._reclaim_idle()
-        self._idle.setdefault(connection, self._loop.time())  # bytes that start no request extend no limit
+        # Bytes that start no request do not restart the time limit.
+        self._idle.setdefault(connection, self._loop.time())
 
     def mark_reading(self, connection: TrackedConnection) -> None:
-        """Note that a request is incomplete; a new connection stays new."""
+        """Mark a connection with a partial request; a new one stays new."""
         self._idle.pop(connection, None)
         if connection not in self._new:
             self._reading.setdefault(connection, self._loop.time())
 
     def mark_active(self, connection: TrackedConnection) -> None:
-        """Note that a complete request is being served; no time limit of the table applies."""
+        """Mark a connection with a complete, unanswered request; the table applies no time limit to it."""
         self._new.pop(connection, None)
         self._idle.pop(connection, None)
         self._reading.pop(connection, None)
 
     def start_lingering_close(self, connection: TrackedConnection) -> None:
-        """Note that the connection waits for its client to close; abort the oldest if too many do."""
+        """Mark a connection that waits for its client to close; abort the oldest of too many."""
         self.mark_active(connection)
         self._lingering[connection] = self._loop.time()
         if len(self._lingering) > MAX_LINGERING_RATIO * self.max_connections:
@@ -134,15 +136,15 @@
             del self._lingering[oldest]
             oldest.abort()
 
-    # Connections that the node closes.
+    # Connections that the node closes itself.
 
     def reclaim_slot(self, connecting_count: int) -> bool:
-        """Close the least valuable connection; return whether there was one.
+        """Close one connection to free its slot; return whether one could be closed.
 
-        First lingering connections, then new ones, then idle ones. While new connections, together with the
-        `connecting_count` that are still being set up, crowd the table, no idle one is closed: some of the
-        new ones will have been silent for long enough in a moment. A client whose request crosses with the
-        close sends it again on another connection.
+        Lingering connections are closed first, then new ones, then idle ones. While new connections, with the
+        `connecting_count` that are still being set up, exceed `IDLE_PROTECTION_RATIO`, no idle one is closed:
+        some of the new ones can be reclaimed `MIN_RECLAIM_AGE_SECONDS` after they connected. A client whose
+        request crosses with the close sends it again on another connection.
         """
         if self._lingering:
             oldest = next(iter(self._lingering))
@@ -150,70 +152,70 @@
             self._telemetry.count(Event.CLIENT_RECLAIMED)
             oldest.abort()
             return True
-        silent_since = self._loop.time() - MIN_SILENT_SECONDS
-        if self._reclaim_silent(self._new, silent_since):
+        latest_entry = self._loop.time() - MIN_RECLAIM_AGE_SECONDS
+        if self._reclaim_oldest(self._new, latest_entry):
             return True
-        if len(self._new) + connecting_count > CROWDED_RATIO * self.max_connections:
+        if len(self._new) + connecting_count > IDLE_PROTECTION_RATIO * self.max_connections:
             return False
-        return self._reclaim_silent(self._idle, silent_since)
+        return self._reclaim_oldest(self._idle, latest_entry)
 
-    def _reclaim_silent(self, start_times: StartTimes, silent_since: float) -> bool:
-        """Close the oldest connection without unread data that has been in the state since `silent_since`."""
-        for connection, since in start_times.items():
-            if since > silent_since:
+    def _reclaim_oldest(self, entry_times: EntryTimes, latest_entry: float) -> bool:
+        """Close the oldest connection that entered its state by `latest_entry` and has no unread data."""
+        for connection, entered_at in entry_times.items():
+            if entered_at > latest_entry:
                 return False
-            if connection.close_if_quiet():
-                del start_times[connection]
+            if connection.close_if_nothing_unread():
+                del entry_times[connection]
                 self._telemetry.count(Event.CLIENT_RECLAIMED)
                 return True
         return False
 
     def _reclaim_idle(self) -> None:
-        """Close the longest idle connections while too many are idle, to leave slots to other clients."""
-        idle_since = self._loop.time() - MIN_IDLE_SECONDS
+        """Close the oldest idle connections while there are too many, to leave slots to other clients."""
+        latest_entry = self._loop.time() - MIN_IDLE_SECONDS
         while len(self._idle) > MAX_IDLE_RATIO * self.max_connections:
-            oldest, since = next(iter(self._idle.items()))
-            if since > idle_since or not oldest.close_if_quiet():
+            oldest, entered_at = next(iter(self._idle.items()))
+            if entered_at > latest_entry or not oldest.close_if_nothing_unread():
                 break
             del self._idle[oldest]
             self._telemetry.count(Event.CLIENT_RECLAIMED)
 
     def start_sweeping(self) -> None:
-        """Enforce the time limits from now on."""
+        """Start to check the time limits periodically."""
         self._loop.call_later(SWEEP_PERIOD_SECONDS, self._sweep)
 
     def _sweep(self) -> None:
-        """End the connections that exceed the time limit of their state."""
+        """Close the connections that exceed the time limit of their state."""
         if self._hold_detector.is_settling():
-            # What the clients sent during the hold is read first.
-            self._loop.call_later(SETTLING_RETRY_SECONDS, self._sweep)
+            # What the clients sent during the hold is to be read first.
+            self._loop.call_later(SWEEP_RETRY_SECONDS, self._sweep)
             return
         now = self._loop.time()
         for connection in _entered_before(self._lingering, now - MAX_LINGERING_SECONDS):
             self._lingering.pop(connection, None)
             connection.abort()
-        for start_times, limit in (
+        for entry_times, limit in (
             (self._new, MAX_NEW_SECONDS),
             (self._reading, MAX_READING_SECONDS),
             (self._idle, MAX_IDLE_SECONDS),
         ):
-            for connection in _entered_before(start_times, now - limit):
-                start_times.pop(connection, None)
+            for connection in _entered_before(entry_times, now - limit):
+                entry_times.pop(connection, None)
                 connection.time_out()
         self._reclaim_idle()
         self._loop.call_later(SWEEP_PERIOD_SECONDS, self._sweep)
 
     def close_unused(self) -> None:
-        """Close the new and idle connections that have sent nothing."""
+        """Close the new and idle connections without unread data or a request."""
         for connection in [*self._new, *self._idle]:
             connection.close_if_unused()
 
 
-def _entered_before(start_times: StartTimes, latest: float) -> list[TrackedConnection]:
-    """Return the connections that entered the state at `latest` (loop time in s) or before."""
+def _entered_before(entry_times: EntryTimes, latest_entry: float) -> list[TrackedConnection]:
+    """Return the connections that entered the state by `latest_entry` (loop time in s)."""
     overdue = []
-    for connection, since in start_times.items():
-        if since > latest:
+    for connection, entered_at in entry_times.items():
+        if entered_at > latest_entry:
             break
         overdue.append(connection)
     return overdue
--- a/moleport/node/graceful_shutdown.py
+++ b/moleport/node/graceful_shutdown.py
@@ -62,7 +62,7 @@
     listener.context.is_draining = True
     await _accept_waiting_clients(listener, end)
     listener.stop_listening()
-    await listener.wait_until_connected()
+    await listener.wait_until_set_up()
 
     while listener.table.connections and loop.time() < end:
         await asyncio.sleep(DRAIN_CHECK_PERIOD_SECONDS)  # first, what new connections have sent is read
--- a/moleport/node/http_limits.py
+++ b/moleport/node/http_limits.py
@@ -1,10 +1,10 @@
-"""Size limits and header names that apply to the messages of clients and of servers."""
+"""Size limits and header names that apply to requests of clients and responses of servers."""
 
 from __future__ import annotations
 
 MAX_BODY_BYTES = 64 << 10
 MAX_HEAD_BYTES = 16 << 10
-HEADER_LINE_BYTES = 4  # of a header line, without name and value
+HEADER_LINE_BYTES = 4  # of each header line for colon, space and line break
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -19,4 +19,4 @@
         b"content-length",
     )
 )
-"""Headers that apply to one connection only, and the length, which is set anew on each connection."""
+"""Headers that apply to one connection only, and Content-Length, which the node sets itself."""
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepts clients while there are free slots, and backs off when accept fails."""
+"""Accepts client connections while there are free slots, and backs off when `accept` fails."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 log = logging.getLogger(__name__)
 
 BACKLOG_CONNECTIONS = 1024
-ACCEPT_BATCH_CONNECTIONS = 16  # in one loop iteration: others must get their turn in a flood of connections
-FULL_TABLE_RETRY_SECONDS = 0.02
+ACCEPT_BATCH_CONNECTIONS = 16  # per loop iteration: a burst of connections must not delay other work for long
+FULL_TABLE_RETRY_SECONDS = 0.02  # delay before accepting again when no slot can be freed
 ACCEPT_BACKOFF_SECONDS = 0.002  # after the first failure; doubles with each failure in a row
 MAX_ACCEPT_BACKOFF_SECONDS = 0.05
 MAX_ACCEPT_BACKOFF_DOUBLINGS = 5
 
 
 class Listener:
-    """The listening socket and the connections accepted from it.
+    """The listening socket, with the table of the connections accepted from it.
 
-    The event loop watches the socket only while there is a free slot. At a full table clients wait in the
-    kernel's queue, and a socket that stays readable costs nothing.
+    The event loop watches the socket only while there is a free slot. While the table is full, clients wait
+    in the kernel's accept queue, and the readable socket does not wake the loop.
     """
 
     def __init__(self, dispatcher: Dispatcher, config: Config, max_connections: int) -> None:
@@ -44,17 +44,17 @@
         self._address = config.listen_address
         self._loop = asyncio.get_running_loop()
         self._socket: socket.socket | None = None
-        self._accepting = False
-        self._retry_scheduled = False
-        # Lower bound for the arrival of the clients in the queue, monotonic ns; 0: it was empty.
-        self._queue_since_ns = 0
-        self._failed_accepts = 0  # in a row
-        self._connecting: set[asyncio.Task[None]] = set()
+        self._is_accepting = False
+        self._is_retry_scheduled = False
+        # Lower bound (monotonic ns) of the time at which the queued clients connected; 0: none was queued.
+        self._earliest_queued_arrival_ns = 0
+        self._consecutive_accept_failures = 0
+        self._setup_tasks: set[asyncio.Task[None]] = set()
 
     def listen(self) -> tuple[str, int]:
-        """Bind the configured address and accept clients from now on; return the host and port bound.
+        """Bind the configured address and start accepting; return the bound host and port.
 
-        Raises OSError if the address can't be used.
+        Raises OSError if the address cannot be bound.
         """
         host, port = self._address
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -69,88 +69,90 @@
         return address[0], address[1]
 
     def _pause_accepting(self) -> None:
-        if self._accepting and self._socket is not None:
-            self._accepting = False
+        if self._is_accepting and self._socket is not None:
+            self._is_accepting = False
             self._loop.remove_reader(self._socket)
 
     def _resume_accepting(self) -> None:
-        if not self._accepting and self._socket is not None:
-            self._accepting = True
+        if not self._is_accepting and self._socket is not None:
+            self._is_accepting = True
             self._loop.add_reader(self._socket, self.accept_batch)
 
     def accept_batch(self) -> None:
-        """Accept the clients that wait, up to `ACCEPT_BATCH_CONNECTIONS`, as far as there are slots."""
+        """Accept up to `ACCEPT_BATCH_CONNECTIONS` clients while slots are free or can be reclaimed."""
         if self._socket is None:
             return
-        since = self._queue_since_ns = self._queue_since_ns or self._hold_detector.earliest_arrival()
+        earliest_arrival_ns = self._earliest_queued_arrival_ns = (
+            self._earliest_queued_arrival_ns or self._hold_detector.earliest_arrival()
+        )
         for _ in range(ACCEPT_BATCH_CONNECTIONS):
-            if not self.table.has_free_slot() and not self.table.reclaim_slot(len(self._connecting)):
+            if not self.table.has_free_slot() and not self.table.reclaim_slot(len(self._setup_tasks)):
                 self._pause_accepting()
                 self._schedule_retry()
                 return
             try:
-                accepted, _ = self._socket.accept()
+                client_socket, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError):
-                self._queue_since_ns = 0
+                self._earliest_queued_arrival_ns = 0
                 return
             except OSError as error:
                 self._on_accept_failed(error)
                 return
-            self._failed_accepts = 0
-            self.table.take_slot()
-            task = self._loop.create_task(self._set_up_connection(accepted, since))
-            self._connecting.add(task)
-            task.add_done_callback(self._connecting.discard)
+            self._consecutive_accept_failures = 0
+            self.table.acquire_slot()
+            task = self._loop.create_task(self._set_up_connection(client_socket, earliest_arrival_ns))
+            self._setup_tasks.add(task)
+            task.add_done_callback(self._setup_tasks.discard)
 
     def _schedule_retry(self) -> None:
-        """Accept again soon: some of the connections at a full table may be reclaimed by then."""
-        if not self._retry_scheduled:
-            self._retry_scheduled = True
+        """Schedule another accept: some connections in the full table may be reclaimable by then."""
+        if not self._is_retry_scheduled:
+            self._is_retry_scheduled = True
             self._loop.call_later(FULL_TABLE_RETRY_SECONDS, self._on_retry_timer)
 
     def _on_retry_timer(self) -> None:
-        self._retry_scheduled = False
+        self._is_retry_scheduled = False
         self._resume_accepting()
 
     def _on_accept_failed(self, error: OSError) -> None:
-        """Pause with backoff: the socket stays readable while clients wait, and the loop would spin."""
+        """Stop accepting for a backoff time: the loop would spin, as the socket stays readable."""
         self._telemetry.count(Event.ACCEPT_FAILED, errno=error.errno)
         if fault_of(error) is Fault.DESCRIPTORS or error.errno in (errno.ENOBUFS, errno.ENOMEM):
-            # Otherwise those that wait would do so until a client leaves.
-            self.table.reclaim_slot(len(self._connecting))
+            # Without a freed descriptor the waiting clients would wait until another one disconnects.
+            self.table.reclaim_slot(len(self._setup_tasks))
         self._pause_accepting()
-        doublings = min(self._failed_accepts, MAX_ACCEPT_BACKOFF_DOUBLINGS)
+        doublings = min(self._consecutive_accept_failures, MAX_ACCEPT_BACKOFF_DOUBLINGS)
         backoff = min(MAX_ACCEPT_BACKOFF_SECONDS, ACCEPT_BACKOFF_SECONDS * 2**doublings)
-        self._failed_accepts += 1
+        self._consecutive_accept_failures += 1
         self._loop.call_later(backoff, self._resume_accepting)
 
-    async def _set_up_connection(self, accepted: socket.socket, earliest_arrival_ns: int) -> None:
-        """Make an accepted socket a client connection."""
+    async def _set_up_connection(self, client_socket: socket.socket, earliest_arrival_ns: int) -> None:
+        """Create the client connection of an accepted socket."""
         try:
-            accepted.setblocking(False)
-            with suppress(OSError):  # out of memory for a moment, or the client is gone
-                accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            client_socket.setblocking(False)
+            with suppress(OSError):  # a temporary lack of memory, or the client has disconnected
+                client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.connect_accepted_socket(
-                lambda: ClientConnection(self.context, earliest_arrival_ns), accepted
+                lambda: ClientConnection(self.context, earliest_arrival_ns), client_socket
             )
         except Exception as error:
             log.warning("an accepted connection could not be set up: %r", error)
-            accepted.close()
+            client_socket.close()
             self.table.release_slot()
 
-    # Shutdown, in the order in which graceful_shutdown calls it.
+    # Methods for the shutdown, in the order in which graceful_shutdown calls them.
 
     def has_waiting_clients(self) -> bool:
-        """Return whether clients wait in the kernel's queue: they would be reset with the socket."""
+        """Return whether clients wait in the accept queue; closing the socket would reset them."""
         return self._socket is not None and is_readable(self._socket.fileno())
 
     def stop_listening(self) -> None:
-        """Close the listening socket; the connections stay open."""
+        """Close the listening socket; client connections stay open."""
         self._pause_accepting()
         if self._socket is not None:
             self._socket.close()
             self._socket = None
 
-    async def wait_until_connected(self) -> None:
-        """Wait until every accepted socket has become a connection or has failed to."""
-        await asyncio.gather(*self._connecting)
+    async def wait_until_set_up(self) -> None:
+        """Wait until the connection of every accepted socket is set up or has failed."""
+        await asyncio.gather(*self._setup_tasks)
--- a/moleport/node/parsed_request.py
+++ b/moleport/node/parsed_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the parser has read it."""
+"""The state of one request while it is parsed and after."""
 
 from __future__ import annotations
 
@@ -7,39 +7,44 @@
 
 
 class ParsedRequest:
-    """One request; complete once its parser hands it out."""
+    """One request; complete once the parser adds it to `RequestParser.ready`."""
 
     __slots__ = (
         "arrived_at_ns",
         "body",
         "class_index",
         "expects_continue",
-        "fields",
+        "forwarded_headers",
         "header_bytes",
-        "headers",
+        "header_values",
         "keep_alive",
         "method",
         "path",
         "size_bytes",
+        "target",
         "timeout_ns",
-        "url",
     )
 
     def __init__(self) -> None:
-        """Create a request of which nothing has been read."""
-        self.url = self.path = self.method = b""
-        self.headers: list[bytes] = []  # the lines that are forwarded
-        self.fields: dict[bytes, bytes] = {}  # all headers, by their name in lower case
-        self.header_bytes = 0  # of the target, header lines and trailers
-        self.size_bytes = 0  # of the head, then of the body with its framing
+        """Create a request of which nothing has been parsed."""
+        self.target = self.path = self.method = b""
+        self.forwarded_headers: list[bytes] = []  # header lines to forward
+        self.header_values: dict[bytes, bytes] = {}  # values of all headers, by lower-case name
+        self.header_bytes = 0  # size of target, header lines and trailers
+        self.size_bytes = 0  # size of the head, then of the body with its framing
         self.body = bytearray()
         self.keep_alive = True
         self.expects_continue = False
         self.class_index = 0
         self.timeout_ns = 0
-        self.arrived_at_ns = 0  # monotonic, of the last byte
+        self.arrived_at_ns = 0  # monotonic, lower bound for the last byte
 
     def forwarded_head(self) -> bytes:
-        """Return the request line and headers for a server, but for X-Deadline and the blank line."""
+        """Return the request line and headers for a server, without X-Deadline and the blank line."""
         length = b"Content-Length: %d\r\n" % len(self.body) if self.method != b"GET" else b""
-        return b"%s %s HTTP/1.1\r\n%s%s" % (self.method, self.url, b"".join(self.headers), length)
+        return b"%s %s HTTP/1.1\r\n%s%s" % (
+            self.method,
+            self.target,
+            b"".join(self.forwarded_headers),
+            length,
+        )
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -1,4 +1,4 @@
-"""Turns a client's bytes into requests."""
+"""Parses the bytes of one client connection into requests."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from moleport.node.request_validation import InvalidRequestError, validate_framing, validate_request
 
 MAX_HEADERS_COUNT = 100
-MAX_FRAMED_BODY_BYTES = 8 * MAX_BODY_BYTES  # of a body with the framing of its chunks
-SLICE_BYTES = 4096  # parsed at once: of what a client sends ahead, no more than is served is parsed
+MAX_FRAMED_BODY_BYTES = 8 * MAX_BODY_BYTES  # size limit of a body including its chunk framing
+PARSE_SLICE_BYTES = 4096  # parsed at a time, so that few of the pipelined requests are parsed ahead
 
 NOT_FORWARDED = HOP_BY_HOP_HEADERS | {b"x-deadline", b"expect"}
-SINGLE_HEADERS = frozenset(
+UNREPEATABLE_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
@@ -32,25 +32,25 @@
         b"idempotency-key",
     )
 )
-"""Headers that the node or a server goes by: of two values, each reader might use another one."""
+"""Headers that the node or a server acts on. If one occurred twice, each might use a different value."""
 
 
 class RequestParser:
-    """Parses requests until the first invalid one; `error_status` is the status of its response."""
+    """Parses requests up to the first invalid one; `error_status` is its status code, 0 before that."""
 
     def __init__(self, config: Config) -> None:
-        """Create the parser of one connection."""
+        """Create the parser of one connection, with the limits of `config`."""
         self.ready: deque[ParsedRequest] = deque()
         self.error_status = 0
         self._config = config
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._buffer = b""
-        self._arrived_at_ns = 0  # monotonic, of the first byte in the buffer
+        self._arrived_at_ns = 0  # monotonic, lower bound for the first byte in the buffer
         self._partial: ParsedRequest | None = None
         self._in_body = False
 
     def close(self) -> None:
-        """Drop everything, and break the reference cycle with httptools' parser."""
+        """Discard all data, and break the reference cycle with the httptools parser."""
         self._parser = None
         self._buffer = b""
         self.ready.clear()
@@ -58,8 +58,8 @@
     def feed(self, data: bytes, arrived_at_ns: int) -> None:
         """Parse data of which no byte arrived before `arrived_at_ns` (monotonic).
 
-        A request counts as having arrived with its last byte. What is behind unparsed data counts as having
-        arrived with it: a client's deadline must not be put too late.
+        A request's arrival time is that of its last byte. Data received behind unparsed data gets
+        the arrival time of that data: a later one would extend the client's deadline.
         """
         if not self._buffer:
             self._arrived_at_ns = arrived_at_ns
@@ -67,18 +67,18 @@
         self.parse_buffered()
 
     def parse_buffered(self) -> None:
-        """Parse until there is a request.
+        """Parse until a request is complete.
 
-        To parse all that a client has sent ahead would delay the other clients and fill the memory.
+        Parsing all pipelined requests of a client at once would delay other clients and fill the memory.
         """
         while self._parser is not None and self._buffer and not self.ready and not self.error_status:
-            piece, self._buffer = self._buffer[:SLICE_BYTES], self._buffer[SLICE_BYTES:]
-            self._parse(piece)
+            data_slice, self._buffer = self._buffer[:PARSE_SLICE_BYTES], self._buffer[PARSE_SLICE_BYTES:]
+            self._parse(data_slice)
 
-    def _parse(self, piece: bytes) -> None:
+    def _parse(self, data_slice: bytes) -> None:
         assert self._parser is not None
         try:
-            self._parser.feed_data(piece)
+            self._parser.feed_data(data_slice)
         except httptools.HttpParserCallbackError as error:
             cause = error.__context__
             self.error_status = (
@@ -88,12 +88,12 @@
             self.error_status = HTTPStatus.BAD_REQUEST
         partial = self._partial
         if partial is not None and not self.error_status:
-            self._limit_size(partial, len(piece))
+            self._check_size(partial, len(data_slice))
         if self.error_status:
             self._buffer, self._partial = b"", None
 
-    def _limit_size(self, partial: ParsedRequest, added_bytes: int) -> None:
-        """Count the bytes of a partial request; httptools doesn't hand out a line before its end."""
+    def _check_size(self, partial: ParsedRequest, added_bytes: int) -> None:
+        """Limit the size of a partial request; httptools reports a line only once it is complete."""
         partial.size_bytes += added_bytes
         if self._in_body and partial.size_bytes > MAX_FRAMED_BODY_BYTES:
             self.error_status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -101,15 +101,15 @@
             self.error_status = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
 
     def has_partial_request(self) -> bool:
-        """Return whether bytes have come of a request that is not handed out yet."""
+        """Return whether bytes of an incomplete or unparsed request have been received."""
         return self._partial is not None or bool(self._buffer)
 
     def has_unparsed(self) -> bool:
-        """Return whether data waits to be parsed."""
+        """Return whether received data is not parsed yet."""
         return bool(self._buffer)
 
     def wants_continue(self) -> bool:
-        """Return, once for each request, whether the client waits for a 100 before it sends the body."""
+        """Return whether the client waits for a 100 to send the body; True at most once per request."""
         partial = self._partial
         if partial is None or not partial.expects_continue or not self._in_body:
             return False
@@ -124,47 +124,47 @@
         self._in_body = False
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the request's target."""
+        """Append a part of the request target."""
         assert self._partial is not None
-        self._partial.url += url
+        self._partial.target += url
         self._partial.header_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; raise InvalidRequestError if it must not occur twice or there are too many."""
+        """Add a header; raise InvalidRequestError if it must not be repeated or the head is too large."""
         partial = self._partial
         assert partial is not None
-        # Counted here too, as the head may be complete before a piece of it is counted.
+        # Checked here too: _check_size does not count the slice in which the head becomes complete.
         partial.header_bytes += len(name) + len(value) + HEADER_LINE_BYTES
         if partial.header_bytes > MAX_HEAD_BYTES:
             raise InvalidRequestError(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"request head of over {MAX_HEAD_BYTES} bytes"
             )
         if self._in_body:
-            return  # a trailer
-        lower, value = name.lower(), value.strip()
-        if lower in SINGLE_HEADERS and lower in partial.fields:
-            raise InvalidRequestError(HTTPStatus.BAD_REQUEST, f"header {name!r} occurs twice")
-        partial.fields[lower] = value
-        if len(partial.headers) >= MAX_HEADERS_COUNT:
+            return  # a trailer: counted, but not forwarded
+        lower_name, value = name.lower(), value.strip()
+        if lower_name in UNREPEATABLE_HEADERS and lower_name in partial.header_values:
+            raise InvalidRequestError(HTTPStatus.BAD_REQUEST, f"header {name!r} is repeated")
+        partial.header_values[lower_name] = value
+        if len(partial.forwarded_headers) >= MAX_HEADERS_COUNT:
             raise InvalidRequestError(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"more than {MAX_HEADERS_COUNT} headers"
             )
-        if lower not in NOT_FORWARDED:
-            partial.headers.append(b"%s: %s\r\n" % (name, value))
+        if lower_name not in NOT_FORWARDED:
+            partial.forwarded_headers.append(b"%s: %s\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
-        """Validate the head; raise InvalidRequestError if it can't be served."""
+        """Validate the head; raise InvalidRequestError if the request is to be rejected."""
         partial = self._partial
         assert partial is not None and self._parser is not None
         partial.method = self._parser.get_method()
         validate_framing(partial)
         validate_request(partial, self._config)
-        partial.expects_continue = partial.fields.get(b"expect", b"").lower() == b"100-continue"
+        partial.expects_continue = partial.header_values.get(b"expect", b"").lower() == b"100-continue"
         partial.size_bytes = 0
         self._in_body = True
 
     def on_body(self, data: bytes) -> None:
-        """Add a part of the body; raise InvalidRequestError if it becomes too long."""
+        """Append a part of the body; raise InvalidRequestError if it exceeds `MAX_BODY_BYTES`."""
         partial = self._partial
         assert partial is not None
         partial.body += data
@@ -174,7 +174,7 @@
             )
 
     def on_message_complete(self) -> None:
-        """Hand out the request."""
+        """Add the complete request to `ready`."""
         partial, self._partial = self._partial, None
         assert partial is not None and self._parser is not None
         partial.keep_alive = self._parser.should_keep_alive()
--- a/tests/node/test_clients.py
+++ b/tests/node/test_clients.py
@@ -201,7 +201,7 @@
             await until(lambda: server.seen)
             client.writer.write_eof()
             (connection,) = rig.listener.table.connections
-            await until(lambda: connection._half_closed)
+            await until(lambda: connection._is_half_closed)
             release.set()
             assert status(await client.read()) == 200
             assert await client.ended() == b""
@@ -233,7 +233,7 @@
             (connection,) = rig.listener.table.connections
             await until(lambda: connection._is_paused)
             client.leave(how)
-            await until(lambda: connection._half_closed or not rig.listener.table.connections)
+            await until(lambda: connection._is_half_closed or not rig.listener.table.connections)
             release.set()
             if how == "sending":
                 assert status(await client.read()) == 200
@@ -508,7 +508,7 @@
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request(X_Deadline="300m"))
-                await until(lambda: connection._slow_reader is not None)
+                await until(lambda: connection._write_timer is not None)
                 await until(lambda: not rig.listener.table.connections)
 
     run(test())
@@ -621,7 +621,7 @@
                 assert status(await client.ask(request())) == 200
             await until(lambda: rig.listener.table.connections)
             for name in (
-                "MIN_SILENT_SECONDS",
+                "MIN_RECLAIM_AGE_SECONDS",
                 "MAX_NEW_SECONDS",
                 "MAX_IDLE_SECONDS",
                 "MAX_IDLE_RATIO",
@@ -706,7 +706,7 @@
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request())
-                await until(lambda: connection._slow_reader is not None)  # a part is out, the rest is not
+                await until(lambda: connection._write_timer is not None)  # a part is out, the rest is not
                 stopping = asyncio.create_task(rig.shut_down(within=15.0))
                 await until(lambda: rig.listener._socket is None)
                 got = b""
