--- a/moleport/node/__init__.py
+++ b/moleport/node/__init__.py
@@ -1,1 +1,1 @@
-"""The node: its sockets towards clients, servers and discovery, and the life of its process."""
+"""The node: its connections to clients, servers and discovery, and its process lifecycle."""
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -1,12 +1,12 @@
-"""Feeds events to the policy one at a time, and executes the actions that it returns.
+"""Passes events to the policy one at a time, and executes the actions that it returns.
 
-Where things enter and leave:
+Entry and exit points of the node:
 
 - client requests: `Dispatcher.accept_request`, which is `RequestRegistry.accept_request`
 - final responses: `RequestRegistry`
 - attempts: `AttemptSupervisor`
 - endpoint updates: `EndpointList.on_update`
-- a changed configuration (SIGHUP): `Dispatcher.reload`
+- a reloaded configuration (SIGHUP): `Dispatcher.reload`
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 
 class Dispatcher:
-    """Owns the policy, which sees each event only after all actions on the one before are executed."""
+    """Owns the policy, which gets an event only once all actions on the previous event are executed."""
 
     def __init__(self, config: Config, pools: ConnectionPools) -> None:
-        """Create the parts of the node around the policy; needs a running event loop."""
+        """Create the policy and the components that it acts on; needs a running event loop."""
         self._config = config
         self._pools = pools
         self._balancer = Balancer(config.policy_settings, config.seed)
         self._notices = self._balancer.notices
         self._events: deque[api.Event] = deque()
         self._is_dispatching = False
-        self._ready_endpoint_ids = pools.endpoint_ids()  # a live view
+        self._ready_endpoint_ids = pools.endpoint_ids()  # a live view of the endpoint ids
         dispatch_event = self._dispatch_event
         self.telemetry = Telemetry()
         self.hold_detector = HoldDetector(self.telemetry)
@@ -56,7 +56,7 @@
         self._consistency_check = ConsistencyCheck(
             self.requests.active, self.attempts_in_flight_by_policy, self.hold_detector, self.telemetry
         )
-        # Bound once, to save look-ups for each request.
+        # Bound once to avoid attribute look-ups per request.
         self._start_attempt = attempts.start_attempt
         self._set_timer = self._timers.set
         self.accept_request = self.requests.accept_request
@@ -65,7 +65,7 @@
         self.retry_after_headers = self.requests.default_retry_after_headers
 
     def start(self) -> None:
-        """Start the policy, and load the endpoints that the configuration names."""
+        """Start the policy, and load the cached endpoints of the configuration."""
         self._pools.start()
         self.hold_detector.start()
         self._consistency_check.start()
@@ -73,36 +73,38 @@
         self.endpoint_list.start()
 
     def reload(self, config: Config) -> None:
-        """Use a changed configuration: discovery is watched at its new address.
+        """Apply the discovery address of a new configuration.
 
-        Endpoints and requests stay, and all other settings until a restart.
+        Endpoints and requests are kept, and so are all other settings until a restart.
         """
         current = self._config
         with_new_address = replace(current, discovery_address=config.discovery_address)
         if replace(config, cached_endpoints=current.cached_endpoints, seed=current.seed) != with_new_address:
-            log.warning("of the new configuration only discovery is used before a restart")
-        log.info("discovery is at %s:%d", *config.discovery_address)
+            log.warning(
+                "only the discovery address of the new configuration is applied; other changes need a restart"
+            )
+        log.info("discovery address is %s:%d", *config.discovery_address)
         self._config = with_new_address
         self.endpoint_list.discovery.move(config.discovery_address)
 
     async def wait_until_endpoints_known(self) -> None:
-        """Wait until discovery has sent its endpoints, has failed, or a timeout has passed."""
+        """Wait until discovery has sent its endpoints or failed, or until a timeout."""
         await self.endpoint_list.wait_until_synced()
 
     def fail_all_requests(self) -> None:
-        """Answer all active requests and reject further ones: the process is about to end."""
+        """Answer 504 to all active requests and reject new ones, as the process is about to exit."""
         self.requests.fail_all()
 
     def attempts_in_flight_by_policy(self) -> int:
-        """Return how many attempts count against the policy's caps, without those released late."""
+        """Return the policy's count of attempts in flight, without those released late after a time-out."""
         return self._balancer.attempts_in_flight()
 
     def has_endpoints(self) -> bool:
-        """Whether there is an endpoint that requests can be forwarded to."""
+        """Return whether there is an endpoint that requests can be forwarded to."""
         return bool(self._ready_endpoint_ids)
 
     def _dispatch_event(self, event: api.Event) -> None:
-        """Queue an event, and handle all queued events unless this is being done already."""
+        """Queue an event; handle all queued events, unless an outer call is already doing so."""
         self._events.append(event)
         if self._is_dispatching:
             return
@@ -112,21 +114,21 @@
                 event = self._events.popleft()
                 self._execute_actions(self._handle(event))
                 while self._notices:
-                    self._report(self._notices.popleft())
+                    self._report_notice(self._notices.popleft())
         finally:
             self._is_dispatching = False
 
-    def _report(self, notice: api.Notice) -> None:
+    def _report_notice(self, notice: api.Notice) -> None:
         """Log and count an ejection or a reinstatement."""
         pool = self._pools.get(notice.endpoint_id)
         server = "{}:{}".format(*pool.address) if pool is not None else notice.endpoint_id.hex()
         if isinstance(notice, api.EndpointReinstated):
             self.telemetry.count(Event.ENDPOINT_REINSTATED, server=server)
-            log.info("%s is reinstated", server)
+            log.info("server %s is reinstated", server)
             return
         self.telemetry.count(Event.ENDPOINT_EJECTED, server=server, result=notice.result.value)
         log.info(
-            "%s is ejected for %.1f s: %s, failure rate %.2f, %d failed trials",
+            "server %s is ejected for %.1f s: result %s, failure rate %.2f, %d failed trials",
             server,
             notice.duration_ns / NS_PER_SECOND,
             notice.result.value,
@@ -137,8 +139,8 @@
     def _handle(self, event: api.Event) -> list[api.Action]:
         """Return the policy's actions on an event, or none if it raises an exception.
 
-        After an exception a timer is set again, the request of a request or attempt event is answered with an
-        error, and after one on an endpoint update the whole list follows.
+        After an exception a timer is set again, the request of a request or attempt event is answered with
+        502, and after one on an endpoint update the full endpoint list is dispatched later.
         """
         try:
             return self._balancer.handle(monotonic_ns(), event)
--- a/moleport/node/name_hashing.py
+++ b/moleport/node/name_hashing.py
@@ -8,11 +8,11 @@
 
 
 def hash_name(name: str | bytes) -> bytes:
-    """Return the eight-byte BLAKE2b digest by which the policy knows a name."""
+    """Return the eight-byte BLAKE2b digest by which the policy identifies a name."""
     data = name if isinstance(name, bytes) else name.encode()
     return blake2b(data, digest_size=NAME_HASH_BYTES).digest()
 
 
 def hash_key(key: bytes) -> int:
-    """Return the hash of a request's key as an integer, never 0, which stands for "no key"."""
+    """Return the hash of a request's key as an integer; never 0, which means "no key"."""
     return int.from_bytes(hash_name(key), "little") or 1
--- a/moleport/node/node_factory.py
+++ b/moleport/node/node_factory.py
@@ -1,4 +1,4 @@
-"""Builds a node from its configuration and divides its descriptors between clients and servers."""
+"""Builds a node from its configuration and divides its file descriptors between clients and servers."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from moleport.node.dispatcher import Dispatcher
 from moleport.node.listener import Listener
 
-# The interpreter's, the event loop's, the listening socket, discovery, and a margin.
+# File descriptors of the interpreter, event loop, listening socket and discovery connection, and a margin.
 RESERVED_DESCRIPTORS_COUNT = 40
-CLIENT_DESCRIPTORS_RATIO = 0.55  # of the rest; the others are for servers
+CLIENT_DESCRIPTORS_RATIO = 0.55  # of the remaining descriptors; the others are for connections to servers
 
 
 def max_client_connections(max_descriptors: int) -> int:
-    """Return how many of a node's descriptors are for client connections."""
+    """Return the maximum number of client connections of a node with this many file descriptors."""
     return int((max_descriptors - RESERVED_DESCRIPTORS_COUNT) * CLIENT_DESCRIPTORS_RATIO)
 
 
 def build_node(config: Config) -> tuple[Dispatcher, Listener]:
-    """Return a node that is not started yet; must be called in a running event loop."""
+    """Return the dispatcher and listener of a node, not started yet; needs a running event loop."""
     max_clients = max_client_connections(config.max_descriptors)
     max_servers = config.max_descriptors - RESERVED_DESCRIPTORS_COUNT - max_clients
     pools = ConnectionPools(max_servers, config.connect_timeout_ns, config.idle_timeout_ns)
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -1,8 +1,10 @@
-"""The life of one request, from its acceptance to its one final response.
+"""The lifecycle of a request, from its acceptance to its single final response.
 
-Each final response leaves through this file: `RequestRegistry.accept_request` rejects requests at once,
-`RequestRegistry.send_final_response` sends what an attempt or the policy has decided, and
-`RequestRegistry._fail` answers requests whose deadline has passed, or whose event the policy failed on.
+This module sends the final response of each request that a client connection passes to it:
+`RequestRegistry.accept_request` rejects requests at once, `RequestRegistry.send_final_response` sends what an
+attempt or the policy has decided, and `RequestRegistry._fail` answers requests whose deadline has passed, or
+on whose event the policy raised an exception. Client connections answer readiness checks, invalid requests
+and requests that are read after a half-close themselves.
 """
 
 from __future__ import annotations
@@ -29,10 +31,10 @@
 
 
 class ClientHandle(Protocol):
-    """The connection that a request came from; receives one final response."""
+    """The connection that a request arrived on; receives its single final response."""
 
     def has_disconnected(self) -> bool:
-        """Ask the kernel whether the client has closed its side, which the loop may not have read yet."""
+        """Return whether the kernel has received the client's end of stream, even if it is unread."""
         ...
 
     def send_response(self, status: int, headers: Headers, body: bytes) -> None:
@@ -46,15 +48,15 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A valid request, as its client connection builds it from what the request parser has read."""
+    """A valid request, which its client connection builds from the parsed request."""
 
     client: ClientHandle
-    request_id: bytes  # set by the client, unique for each request
+    request_id: bytes  # set by the client, unique per request
     head: bytes  # request line and headers for a server, without X-Deadline and the blank line
     body: bytes
     class_index: int
     tenant_index: int
-    key: int  # hash of the request's key; 0: none
+    key: int  # hash of the X-Key header; 0: none
     is_client_retry: bool
     deadline_ns: int  # monotonic ns
 
@@ -65,11 +67,11 @@
 
     request_number: int
     client_request: ClientRequest
-    watchdog: asyncio.TimerHandle | None = None
+    deadline_timer: asyncio.TimerHandle | None = None
     is_answered: bool = False
-    client_left_at_ns: int = 0  # monotonic ns, when the client's half-close was seen; 0: never
-    first_execution_ns: int = 0  # monotonic ns, when the first attempt that may have run was written; 0: none
-    attempt_count: int = 0  # attempts so far
+    client_left_at_ns: int = 0  # monotonic ns at which its half-close was detected; 0: not detected
+    first_execution_ns: int = 0  # monotonic ns of the write of the first attempt that may have run; 0: none
+    attempt_count: int = 0  # attempts started so far
     attempts: dict[int, Attempt] = field(default_factory=dict)  # in flight, by attempt index
 
 
@@ -79,12 +81,12 @@
 
 
 class RequestRegistry:
-    """Holds the active requests and sees to it that each gets exactly one final response."""
+    """Holds the active requests and ensures that each gets exactly one final response."""
 
     def __init__(
         self, config: Config, telemetry: Telemetry, dispatch_event: Callable[[api.Event], None]
     ) -> None:
-        """Report the requests and their ends to the policy through `dispatch_event`."""
+        """Report requests and disconnections to the policy through `dispatch_event`."""
         self._config = config
         self._telemetry = telemetry
         self._dispatch_event = dispatch_event
@@ -99,7 +101,7 @@
     def accept_request(self, client_request: ClientRequest) -> int:
         """Pass a client's request to the policy, or reject it at once.
 
-        Returns the request's number, by which the client connection refers to it later.
+        Returns the request number, by which the client connection refers to the request later.
         """
         self._last_request_number += 1
         now = monotonic_ns()
@@ -112,7 +114,7 @@
             self._telemetry.count(Event.REQUEST_EXPIRED_ON_ARRIVAL, request=request.request_number)
             self._send(request, 504, [])
         elif client_request.request_id in self._request_ids:
-            # Servers would take it for a retry of the other client's request.
+            # Servers would treat it as a retry of the active request with the same id.
             self._telemetry.count(Event.REQUEST_DUPLICATE_ID, request=request.request_number)
             self._send(request, 409, [])
         elif self._is_shutting_down or len(self.active) >= self._config.max_requests:
@@ -121,7 +123,7 @@
         else:
             self.active[request.request_number] = request
             self._request_ids.add(client_request.request_id)
-            request.watchdog = self._loop.call_later(
+            request.deadline_timer = self._loop.call_later(
                 (client_request.deadline_ns - now) / NS_PER_SECOND, self._on_deadline, request
             )
             self._dispatch_event(
@@ -142,19 +144,19 @@
         return Event.REQUEST_REJECTED_BY_LIMIT
 
     def default_retry_after_headers(self) -> Headers:
-        """Return the Retry-After header for a rejection that the policy does not decide."""
+        """Return the Retry-After header of rejections that are not decided by the policy."""
         settings = self._config.policy_settings
         return retry_after_headers(settings.max_retry_after_ns if settings.sends_retry_after else 0)
 
     # Decisions of the policy.
 
     def reject(self, action: api.Reject) -> None:
-        """Answer 503: the request was not executed."""
+        """Answer 503, which states that the request was not executed."""
         self._telemetry.count(Event.REQUEST_REJECTED_BY_POLICY, request=action.request_id)
         self.send_final_response(action.request_id, 503, retry_after_headers(action.retry_after_ns))
 
     def report_failure(self, action: api.Fail) -> None:
-        """Answer 504 if the deadline has come, else 502: the request may have been executed."""
+        """Answer 502, or 504 from `RESPONSE_TRANSIT_NS` before the deadline on; the request may have run."""
         self._telemetry.count(Event.REQUEST_FAILED_BY_POLICY, request=action.request_id)
         request = self.active.get(action.request_id)
         if request is None:
@@ -164,15 +166,15 @@
         self.send_final_response(action.request_id, status, [])
 
     def on_policy_failed(self, request_number: int) -> None:
-        """Answer 502 for a request on whose event the policy raised an exception."""
+        """Answer 502 to a request on whose event the policy raised an exception."""
         request = self.active.get(request_number)
         if request is not None:
             self._fail(request, 502)
 
-    # Clients that leave.
+    # Disconnections of clients.
 
     def on_client_disconnected(self, request_number: int) -> None:
-        """End a request whose client's connection is closed."""
+        """End an unanswered request whose client has closed or reset its connection."""
         request = self.active.get(request_number)
         if request is None or request.is_answered:
             return
@@ -180,10 +182,10 @@
         self._end_early(request)
 
     def on_client_half_closed(self, request_number: int) -> None:
-        """Stop what is not written yet for a client that sends no more.
+        """Cancel the attempts of a half-closed client that are not fully written.
 
-        A client that closes its connection shows no more than that at first. Attempts that are written to
-        their last byte are waited for.
+        A closed connection cannot be told from a half-closed one at first. Attempts that are fully written
+        continue, as the client may still wait for their response.
         """
         request = self.active.get(request_number)
         if request is None or request.is_answered or request.client_left_at_ns:
@@ -194,10 +196,10 @@
         for attempt in list(request.attempts.values()):
             attempt.give_up_unwritten()
 
-    # Ends.
+    # Final responses and the end of requests.
 
     def fail_all(self) -> None:
-        """Answer 504 for all active requests and reject further ones: the process is about to end."""
+        """Answer 504 to all active requests and reject new ones, as the process is about to exit."""
         self._is_shutting_down = True
         for request in list(self.active.values()):
             self._on_deadline(request)
@@ -222,16 +224,17 @@
     def send_final_response(
         self, request_number: int, status: int, headers: Headers, body: bytes = b""
     ) -> None:
-        """Send the final response of a request, unless it has had one."""
+        """Send the final response of a request, unless one was sent before."""
         request = self.active.get(request_number)
         if request is not None and not request.is_answered:
             self._send(request, status, headers, body)
             self._mark_answered(request)
 
     def _send(self, request: PendingRequest, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Hand a final response to the client's connection, which is closed if it fails on it.
+        """Pass a final response to the client connection; abort the connection if that raises an exception.
 
-        The request and its attempts end as if it had been sent: left active, they would count as in flight.
+        The request and its attempts then end as if the response had been sent. If they stayed active, they
+        would count as in flight for good.
         """
         client = request.client_request.client
         try:
@@ -241,13 +244,15 @@
             self._telemetry.count(
                 Event.RESPONSE_FAILED, request=request.request_number, id=request_id, status=status
             )
-            log.exception("no response %d to request %d (id %r)", status, request.request_number, request_id)
+            log.exception(
+                "could not send response %d to request %d (id %r)", status, request.request_number, request_id
+            )
             client.abort()
 
     def _mark_answered(self, request: PendingRequest) -> None:
         request.is_answered = True
-        if request.watchdog is not None:
-            request.watchdog.cancel()
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
         self.remove_if_done(request)
 
     def remove_if_done(self, request: PendingRequest) -> None:
