--- a/moleport/node/config_reload.py
+++ b/moleport/node/config_reload.py
@@ -14,7 +14,7 @@
 
 BACKOFF_SECONDS = 0.02  # after the first failure; doubles with each failure in a row
 MAX_BACKOFF_SECONDS = 0.2
-MAX_RETRY_SECONDS = 3.0  # 4 s after the signal the node is expected to know the new agent's endpoints
+MAX_RETRY_SECONDS = 3.0  # the node must know the new agent's endpoints 4 s after the signal
 
 
 class ConfigReloader:
--- a/moleport/node/connection_table.py
+++ b/moleport/node/connection_table.py
@@ -187,7 +187,7 @@
     def _sweep(self) -> None:
         """Close the connections that exceed the time limit of their state."""
         if self._hold_detector.is_settling():
-            # What the clients sent during the hold is to be read first.
+            # Data that the clients sent during the hold must be read first.
             self._loop.call_later(SWEEP_RETRY_SECONDS, self._sweep)
             return
         now = self._loop.time()
--- a/tests/node/test_answer_faults.py
+++ b/tests/node/test_answer_faults.py
@@ -1,4 +1,4 @@
-"""Answers that the node can't handle: they end their own request, and nothing stays counted."""
+"""Responses that the node cannot handle: they end their request, and nothing stays counted as in flight."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from moleport.telemetry import Event
 
 
-def test_a_response_that_the_client_connection_fails_on_leaves_nothing_in_flight(
+def test_a_response_that_the_client_connection_fails_to_send_leaves_nothing_in_flight(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An attempt whose outcome is not reported would use up the cap for good."""
+    """An attempt whose outcome is never reported would count against the concurrency cap for good."""
     send_response = ClientConnection.send_response
 
-    def fail(self: ClientConnection, *_: object) -> None:
+    def raise_key_error(self: ClientConnection, *_: object) -> None:
         raise KeyError(499)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            monkeypatch.setattr(ClientConnection, "send_response", fail)
+            monkeypatch.setattr(ClientConnection, "send_response", raise_key_error)
             for _ in range(3):
                 client = await rig.client()
                 client.writer.write(request("order"))
@@ -40,8 +40,8 @@
     run(test())
 
 
-def test_unregistered_statuses_of_all_servers_cost_the_following_requests_nothing() -> None:
-    """Sixty of them, more than the cap; the servers then recover."""
+def test_unregistered_statuses_of_all_servers_do_not_affect_later_requests() -> None:
+    """The 60 responses exceed the cap on attempts in flight; the servers then recover."""
 
     async def test() -> None:
         async with Server("s-1", says(answer(499))) as server, Rig(configuration(server)) as rig:
@@ -59,6 +59,7 @@
 def test_ejections_and_reinstatements_are_logged_with_their_reason_and_counted(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    """A server that fails is ejected, and reinstated after it recovers."""
     caplog.set_level("INFO")
 
     async def test() -> None:
--- a/tests/node/test_clients.py
+++ b/tests/node/test_clients.py
@@ -1,4 +1,4 @@
-"""The client side: framing, invalid requests, forwarding, time limits, and faults of the policy."""
+"""The node's client side: framing, invalid requests, forwarding, time limits and policy exceptions."""
 
 from __future__ import annotations
 
@@ -47,14 +47,17 @@
                 Accept="image/png",
                 X_Request_Id="9b1f03aa5c7e2d41",
             )
-            got = await client.ask(sent)
-            assert (got.body, got.headers["content-type"]) == (b"frame", "image/png")
-            (seen,) = server.seen
-            assert seen.first == "POST /api?a=b&c=%20d HTTP/1.1"
-            assert seen.body == b"\x00subtitle\xff"
-            assert seen.headers["x-request-id"] == "9b1f03aa5c7e2d41"
-            assert (seen.headers["idempotency-key"], seen.headers["accept"]) == ("5c0f", "image/png")
-            assert 0 < int(seen.headers["x-deadline"].removesuffix("u")) < 1_500_000
+            response = await client.ask(sent)
+            assert (response.body, response.headers["content-type"]) == (b"frame", "image/png")
+            (forwarded,) = server.seen
+            assert forwarded.first == "POST /api?a=b&c=%20d HTTP/1.1"
+            assert forwarded.body == b"\x00subtitle\xff"
+            assert forwarded.headers["x-request-id"] == "9b1f03aa5c7e2d41"
+            assert (forwarded.headers["idempotency-key"], forwarded.headers["accept"]) == (
+                "5c0f",
+                "image/png",
+            )
+            assert 0 < int(forwarded.headers["x-deadline"].removesuffix("u")) < 1_500_000
             (event,) = [event for event in rig.spy.events if isinstance(event, api.Request)]
             assert (event.class_index, event.is_client_retry) == (1, True)
             assert event.key not in (0, 0x7F3A) and event.remaining_ns < 1_500_000_000
@@ -63,7 +66,7 @@
     run(test())
 
 
-def test_a_get_has_no_body_and_without_a_deadline_that_of_its_class() -> None:
+def test_a_get_is_forwarded_without_a_length_and_gets_the_deadline_of_its_class() -> None:
     """A GET is forwarded without a length; without X-Deadline the class's longest deadline applies."""
 
     async def test() -> None:
@@ -85,41 +88,41 @@
     return "\r\n".join(head).encode() + body
 
 
-HIDDEN = b"0\r\n\r\n" + request("order")
+SMUGGLED_REQUEST = b"0\r\n\r\n" + request("order")
 INVALID_REQUESTS = {
-    "class": (request("nosuch"), 400),
+    "unknown class": (request("nosuch"), 400),
     "no id": (request(X_Request_Id=""), 400),
-    "odd id": (request(X_Request_Id="a b"), 400),
+    "id with a space": (request(X_Request_Id="a b"), 400),
     "long id": (request(X_Request_Id="a" * 65), 400),
-    "deadline": (request(X_Deadline="soon"), 400),
+    "malformed deadline": (request(X_Deadline="soon"), 400),
     "negative deadline": (request(X_Deadline="-5m"), 400),
     "deadline with no unit": (request(X_Deadline="5"), 400),
-    "deadline without end": (request(X_Deadline="9" * 400 + "m"), 400),
-    "path": (request(target="/other"), 404),
-    "method": (request(method="DELETE"), 405),
+    "deadline of 400 digits": (request(X_Deadline="9" * 400 + "m"), 400),
+    "unknown path": (request(target="/other"), 404),
+    "unsupported method": (request(method="DELETE"), 405),
     "method of another class": (request("page", method="POST"), 400),
-    "unsafe GET": (request("order", method="GET"), 400),
-    "keyed without its key": (request("pay"), 400),
+    "GET for a class that is not idempotent": (request("order", method="GET"), 400),
+    "missing idempotency key": (request("pay"), 400),
     "GET with a body": (request("page", method="GET", body=b"x"), 400),
-    "two ids": (raw("X-Request-Id: 2", "Content-Length: 0"), 400),
-    "two classes": (raw("X-Class: page", "Content-Length: 0"), 400),
-    "two deadlines": (raw("X-Deadline: 5m", "x-deadline: 6m", "Content-Length: 0"), 400),
+    "repeated id": (raw("X-Request-Id: 2", "Content-Length: 0"), 400),
+    "repeated class": (raw("X-Class: page", "Content-Length: 0"), 400),
+    "repeated deadline": (raw("X-Deadline: 5m", "x-deadline: 6m", "Content-Length: 0"), 400),
     "many headers": (raw(*["X: y"] * 200, "Content-Length: 0"), 431),
-    "body": (request(body=b"x" * 65537), 413),
-    "chunked body": (raw("Transfer-Encoding: chunked", body=b"10001\r\n" + b"x" * 65537), 413),
-    "chunk without end": (raw("Transfer-Encoding: chunked", body=b"1;" + b"x" * 600_000), 413),
-    "announced length": (raw("Content-Length: 99999999"), 413),
+    "long body": (request(body=b"x" * 65537), 413),
+    "long chunked body": (raw("Transfer-Encoding: chunked", body=b"10001\r\n" + b"x" * 65537), 413),
+    "long chunk extension": (raw("Transfer-Encoding: chunked", body=b"1;" + b"x" * 600_000), 413),
+    "length over the limit": (raw("Content-Length: 99999999"), 413),
     "huge length": (raw("Content-Length: 999999999999999999999999"), 400),
     "negative length": (raw("Content-Length: -1"), 400),
     "signed length": (raw("Content-Length: +5", body=b"hello"), 400),
     "list of lengths": (raw("Content-Length: 5, 5", body=b"hello"), 400),
     "two lengths": (raw("Content-Length: 5", "Content-Length: 6", body=b"hello!"), 400),
-    "length and coding": (raw("Content-Length: 6", "Transfer-Encoding: chunked", body=HIDDEN), 400),
-    "coding and length": (raw("Transfer-Encoding: chunked", "Content-Length: 6", body=HIDDEN), 400),
-    "another coding": (raw("Transfer-Encoding: gzip, chunked", body=b"0\r\n\r\n"), 501),
-    "chunk size": (raw("Transfer-Encoding: chunked", body=b"zz\r\n"), 400),
-    "no HTTP": (b"hello\r\n\r\n", 400),
-    "long head in one piece": (raw("X-Long: " + "x" * 17_000, "Content-Length: 0"), 431),
+    "length and coding": (raw("Content-Length: 6", "Transfer-Encoding: chunked", body=SMUGGLED_REQUEST), 400),
+    "coding and length": (raw("Transfer-Encoding: chunked", "Content-Length: 6", body=SMUGGLED_REQUEST), 400),
+    "unsupported coding": (raw("Transfer-Encoding: gzip, chunked", body=b"0\r\n\r\n"), 501),
+    "malformed chunk size": (raw("Transfer-Encoding: chunked", body=b"zz\r\n"), 400),
+    "not HTTP": (b"hello\r\n\r\n", 400),
+    "long head sent at once": (raw("X-Long: " + "x" * 17_000, "Content-Length: 0"), 431),
     "long target": (
         b"GET /api?" + b"x" * 17_000 + b" HTTP/1.1\r\nX-Request-Id: 1\r\nX-Class: page\r\n\r\n",
         431,
@@ -133,15 +136,15 @@
     """Neither the policy nor a server sees the request, or what follows it on the connection."""
 
     async def test() -> None:
-        data, expected = INVALID_REQUESTS[name]
+        data, expected_status = INVALID_REQUESTS[name]
         document = configuration()
         document["settings"]["Grades"].append(grade("pay", "by_key"))
         async with Server("s-1") as server:
             document["known"]["servers"] = [server.entry()]
             async with Rig(document) as rig:
                 client = await rig.client()
-                got = await client.ask(data + request("order"))
-                assert (status(got), got.headers["connection"]) == (expected, "close")
+                response = await client.ask(data + request("order"))
+                assert (status(response), response.headers["connection"]) == (expected_status, "close")
                 assert await client.ended() == b""
                 assert not server.seen
                 assert not [event for event in rig.spy.events if isinstance(event, api.Request)]
@@ -149,8 +152,8 @@
     run(test())
 
 
-def test_an_expired_deadline_fails_and_a_long_one_is_cut_to_that_of_the_class() -> None:
-    """A request with no time left gets 504; one with years left counts as one of its class."""
+def test_an_expired_deadline_fails_and_a_long_one_is_limited_to_that_of_the_class() -> None:
+    """A request with no time left gets 504; a deadline beyond that of its class is reduced to it."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -167,35 +170,35 @@
     """A second request with the id of one in flight gets 409."""
     release = asyncio.Event()
 
-    async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer())
 
     async def test() -> None:
-        async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
-            owner, stranger = await rig.client(), await rig.client()
-            owner.writer.write(request("order", X_Request_Id="mine"))
+        async with Server("s-1", respond_when_released) as server, Rig(configuration(server)) as rig:
+            first, second = await rig.client(), await rig.client()
+            first.writer.write(request("order", X_Request_Id="mine"))
             await until(lambda: server.seen)
-            assert status(await stranger.ask(request("order", X_Request_Id="mine"))) == 409
-            assert await stranger.ended() == b""
+            assert status(await second.ask(request("order", X_Request_Id="mine"))) == 409
+            assert await second.ended() == b""
             release.set()
-            assert status(await owner.read()) == 200
-            assert status(await owner.ask(request("order", X_Request_Id="mine"))) == 200
+            assert status(await first.read()) == 200
+            assert status(await first.ask(request("order", X_Request_Id="mine"))) == 200
             assert len(server.seen) == 2 and not rig.node.requests._request_ids
 
     run(test())
 
 
 def test_a_half_closed_client_gets_its_response_but_none_to_a_partial_request() -> None:
-    """A partial request that can never be completed ends the connection."""
+    """After a half-close a complete request is answered; a partial one is dropped with its connection."""
     release = asyncio.Event()
 
-    async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer())
 
     async def test() -> None:
-        async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", respond_when_released) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(request("order"))
             await until(lambda: server.seen)
@@ -205,10 +208,10 @@
             release.set()
             assert status(await client.read()) == 200
             assert await client.ended() == b""
-            half = await rig.client()
-            half.writer.write(request("order")[:-9])
-            half.writer.write_eof()
-            assert await half.ended() == b""
+            partial_client = await rig.client()
+            partial_client.writer.write(request("order")[:-9])
+            partial_client.writer.write_eof()
+            assert await partial_client.ended() == b""
             await until(lambda: not rig.listener.table.connections)
             assert len(server.seen) == 1
 
@@ -216,19 +219,20 @@
 
 
 @pytest.mark.parametrize("how", LEAVE)
-@pytest.mark.parametrize("behind", [1, 300])  # more than the reader takes, less than the kernel
-def test_no_pipelined_request_of_a_departed_client_is_forwarded(how: str, behind: int) -> None:
-    """The client's end of stream is behind data that is not read yet."""
+# 300 requests are more than the node reads at once, and less than the kernel buffers.
+@pytest.mark.parametrize("pipelined_count", [1, 300])
+def test_no_pipelined_request_of_a_disconnected_client_is_forwarded(how: str, pipelined_count: int) -> None:
+    """The client's end of stream is queued in the kernel behind unread requests."""
     release = asyncio.Event()
 
-    async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer())
 
     async def test() -> None:
-        async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", respond_when_released) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            client.writer.write(b"".join(request("order") for _ in range(1 + behind)))
+            client.writer.write(b"".join(request("order") for _ in range(1 + pipelined_count)))
             await until(lambda: server.seen)
             (connection,) = rig.listener.table.connections
             await until(lambda: connection._is_paused)
@@ -237,8 +241,8 @@
             release.set()
             if how == "sending":
                 assert status(await client.read()) == 200
-                refused = await client.read()
-                assert (status(refused), refused.headers["retry-after"]) == (503, "1.500")
+                rejection = await client.read()
+                assert (status(rejection), rejection.headers["retry-after"]) == (503, "1.500")
                 client.writer.close()
             await until(lambda: not rig.listener.table.connections and not rig.node.requests.active)
             assert len(server.seen) == 1
@@ -247,38 +251,40 @@
 
 
 @pytest.mark.parametrize("how", LEAVE)
-@pytest.mark.parametrize("kind", ["page", "order"])
-def test_no_retry_is_made_for_a_departed_client(kind: str, how: str) -> None:
-    """A close looks like a half close to the node, and both rule out a retry."""
+@pytest.mark.parametrize("class_name", ["page", "order"])
+def test_no_retry_is_made_for_a_disconnected_client(class_name: str, how: str) -> None:
+    """The node cannot tell a close from a half-close, and retries after neither."""
 
     async def test() -> None:
         release = asyncio.Event()
 
-        async def rejects(_: Message, writer: asyncio.StreamWriter) -> None:
+        async def reject_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
             await release.wait()
             writer.write(answer(503, X_Not_Run="1"))
 
         async with (
-            Server("s-1", rejects) as one,
-            Server("s-2", rejects) as two,
+            Server("s-1", reject_when_released) as one,
+            Server("s-2", reject_when_released) as two,
             Rig(configuration(one, two)) as rig,
         ):
             client = await rig.client()
-            client.writer.write(request(kind))
+            client.writer.write(request(class_name))
             await until(lambda: one.seen or two.seen)
             client.leave(how)
-            await until(lambda: [one for one in rig.spy.events if isinstance(one, api.ClientDisconnected)])
+            await until(
+                lambda: [event for event in rig.spy.events if isinstance(event, api.ClientDisconnected)]
+            )
             release.set()
             if how == "sending":
-                assert status(await client.read()) == 503  # it never ran
+                assert status(await client.read()) == 503  # the request was not executed
             await until(lambda: not rig.listener.table.connections and not rig.node.requests.active)
             assert len(one.seen) + len(two.seen) == 1
-            assert len([one for one in rig.spy.events if isinstance(one, api.AttemptOutcome)]) == 1
+            assert len([event for event in rig.spy.events if isinstance(event, api.AttemptOutcome)]) == 1
 
     run(test())
 
 
-def test_pipelined_requests_stay_in_the_kernel_until_they_are_served() -> None:
+def test_pipelined_requests_stay_in_the_kernel_until_they_are_processed() -> None:
     """A client that sends thousands of requests ahead fills its own queue, not the memory of the node."""
 
     async def test() -> None:
@@ -295,10 +301,10 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nX-Cl", request(body=b"xy")[:-1]])
-def test_a_new_connection_is_timed_out_from_connecting_and_a_used_one_may_be_idle(
+def test_new_connections_and_partial_requests_time_out_but_idle_connections_stay_open(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Data that arrives slowly does not extend the time limit of a request."""
+    """Data that arrives slowly does not extend the time limit of a new connection or of a request."""
     assert connection_table.MAX_NEW_SECONDS + connection_table.SWEEP_PERIOD_SECONDS < 3.0
     assert connection_table.MAX_IDLE_SECONDS >= 2.0
     monkeypatch.setattr(connection_table, "MAX_NEW_SECONDS", 0.3)
@@ -325,7 +331,7 @@
     run(test())
 
 
-def test_a_used_connection_is_closed_after_the_idle_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_used_connection_is_closed_after_the_idle_time_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     """The node closes a connection that has been idle for MAX_IDLE_SECONDS."""
     monkeypatch.setattr(connection_table, "MAX_IDLE_SECONDS", 0.1)
     monkeypatch.setattr(connection_table, "SWEEP_PERIOD_SECONDS", 0.02)
@@ -340,7 +346,7 @@
 
 
 def test_slots_are_reclaimed_from_lingering_then_new_then_idle_connections() -> None:
-    """A full table serves new clients, and keeps a used connection while others can be closed."""
+    """A full table admits new clients, and a used connection stays open while others can be closed."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -349,10 +355,10 @@
             assert status(await used.ask(request())) == 200
             rejected = await rig.client()
             assert status(await rejected.ask(b"rubbish\r\n\r\n")) == 400
-            assert await rejected.reader.read() == b""  # it lingers: the client has not closed
-            silents = [await rig.client() for _ in range(6)]
-            silents[0].writer.write(b"GET /api HT")
-            await asyncio.gather(*(one.ended() for one in silents[:4]))
+            assert await rejected.reader.read() == b""  # lingering close: the client has not closed its side
+            silent_clients = [await rig.client() for _ in range(6)]
+            silent_clients[0].writer.write(b"GET /api HT")
+            await asyncio.gather(*(one.ended() for one in silent_clients[:4]))
             new = await rig.client()
             assert status(await new.ask(request())) == 200
             assert status(await used.ask(request())) == 200
@@ -361,10 +367,10 @@
     run(test())
 
 
-def test_idle_connections_hold_at_most_a_part_of_the_slots(
+def test_idle_connections_use_a_limited_ratio_of_the_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Clients that send one request and stay connected leave slots to the others."""
+    """The node closes idle connections so that clients that stay connected do not use all slots."""
     monkeypatch.setattr(connection_table, "MIN_IDLE_SECONDS", 0.0)
 
     async def test() -> None:
@@ -380,8 +386,8 @@
     run(test())
 
 
-def test_silent_connections_pass_through_a_full_table_fast() -> None:
-    """Hundreds of silent clients that wait in the queue delay the other clients by seconds only."""
+def test_silent_clients_at_a_full_table_do_not_block_others_for_long() -> None:
+    """Hundreds of silent clients in the accept queue delay another client by a few seconds at most."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -389,21 +395,22 @@
             used = [await rig.client() for _ in range(10)]
             for client in used:
                 assert status(await client.ask(request())) == 200
-            crowd = [await rig.client() for _ in range(300)]
-            begun = asyncio.get_running_loop().time()
-            late = await rig.client()
-            assert status(await late.ask(request())) == 200
-            # Half of the table and more at a time, each with 0.1 s to bring something; a tenth took 30 s.
-            assert asyncio.get_running_loop().time() - begun < 12
+            silent_clients = [await rig.client() for _ in range(300)]
+            start_time = asyncio.get_running_loop().time()
+            last_client = await rig.client()
+            assert status(await last_client.ask(request())) == 200
+            # Silent clients have at least half of the table, and 0.1 s each to send data.
+            # With a tenth of the table for them this took 30 s.
+            assert asyncio.get_running_loop().time() - start_time < 12
             assert rig.listener.table.open_count <= 20 + listener.ACCEPT_BATCH_CONNECTIONS
-            for client in crowd:
+            for client in silent_clients:
                 client.writer.close()
 
     run(test())
 
 
 def test_data_after_a_rejection_is_dropped_up_to_a_limit() -> None:
-    """A rejected client can read its response, but not send without end."""
+    """A rejected client can read its response, but cannot send data without limit."""
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
@@ -439,7 +446,7 @@
 
 
 def test_many_pipelined_responses_cause_no_recursion() -> None:
-    """A response that is written at once must not serve the next request from within."""
+    """A response that is written at once must not process the next request in a nested call."""
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
@@ -451,12 +458,12 @@
     run(test())
 
 
-def test_a_request_and_response_in_single_bytes_are_unchanged() -> None:
-    """Framing does not depend on how the bytes are split."""
+def test_a_request_and_response_sent_in_single_bytes_are_forwarded_unchanged() -> None:
+    """Parsing does not depend on how the bytes are split."""
 
     async def test() -> None:
         async with (
-            Server("s-1", lambda message, writer: _slowly(writer, answer(body=b"whole"))) as server,
+            Server("s-1", lambda message, writer: _write_bytewise(writer, answer(body=b"whole"))) as server,
             Rig(configuration(server)) as rig,
         ):
             client = await rig.client()
@@ -469,14 +476,14 @@
     run(test())
 
 
-async def _slowly(writer: asyncio.StreamWriter, data: bytes) -> None:
+async def _write_bytewise(writer: asyncio.StreamWriter, data: bytes) -> None:
     for byte in data:
         writer.write(bytes([byte]))
         await writer.drain()
         await asyncio.sleep(0)
 
 
-def test_the_largest_bodies_pass_unchanged_in_both_directions() -> None:
+def test_the_largest_bodies_are_forwarded_unchanged_in_both_directions() -> None:
     """Bodies of 64 KB are forwarded as they are."""
 
     async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
@@ -492,7 +499,7 @@
 
 
 def test_a_slow_reader_is_disconnected_at_its_deadline() -> None:
-    """A response that is not taken by the deadline is given up with its connection."""
+    """A connection is aborted if its client has not read the response by the deadline."""
 
     async def test() -> None:
         large = says(answer(body=b"x" * 65536))
@@ -543,16 +550,16 @@
 
 
 def test_an_exception_in_the_policy_fails_only_its_own_request(caplog: pytest.LogCaptureFixture) -> None:
-    """The exception is logged, and other requests go on."""
+    """The exception is logged, and other requests continue."""
 
-    def broken(event: api.Event) -> list[api.Action] | None:
+    def fail_on_order(event: api.Event) -> list[api.Action] | None:
         if isinstance(event, api.Request) and event.class_index == 1:
             raise ZeroDivisionError("in the module")
         return None
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = broken
+            rig.spy.instead = fail_on_order
             other, client = await rig.client(), await rig.client()
             other.writer.write(request())
             await until(lambda: server.seen)
@@ -560,64 +567,65 @@
             assert status(await client.ask(request("order"))) == 502
             assert "in the module" in caplog.text and "Traceback" in caplog.text
             assert status(await client.ask(request())) == 200
-            assert len(rig.node.requests.active) == 1  # the other one is out still
+            assert len(rig.node.requests.active) == 1  # the other request is still in flight
 
     run(test())
 
 
-def test_a_timer_that_the_policy_raised_on_is_set_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Otherwise a periodic update, which sets its next timer itself, would never run again."""
+def test_a_timer_is_set_again_after_the_policy_raised_an_exception_on_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Otherwise a periodic timer, whose handler sets the next one, would never fire again."""
     monkeypatch.setattr("moleport.node.policy_timers.RETRY_AFTER_FAILURE_NS", 1_000_000)
-    failed: list[int] = []
+    failed_timer_ids: list[int] = []
 
-    def broken(event: api.Event) -> list[api.Action] | None:
-        if isinstance(event, api.TimerFired) and not failed:
-            failed.append(event.timer_id)
+    def fail_once(event: api.Event) -> list[api.Action] | None:
+        if isinstance(event, api.TimerFired) and not failed_timer_ids:
+            failed_timer_ids.append(event.timer_id)
             raise KeyError(event.timer_id)
         return None
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
-            rig.spy.instead = broken
-            await until(lambda: failed)
-            await until(lambda: rig.spy.events.count(api.TimerFired(failed[0])) > 1)
+            rig.spy.instead = fail_once
+            await until(lambda: failed_timer_ids)
+            await until(lambda: rig.spy.events.count(api.TimerFired(failed_timer_ids[0])) > 1)
 
     run(test())
 
 
-@pytest.mark.parametrize("kind", ["page", "order"])
-def test_an_id_may_come_again_on_a_new_connection_once_the_old_one_is_lost(kind: str) -> None:
-    """Both are seen in one turn of the loop, with the attempt out: the id is free by then."""
+@pytest.mark.parametrize("class_name", ["page", "order"])
+def test_a_request_id_may_be_reused_on_a_new_connection_after_the_old_one_is_reset(class_name: str) -> None:
+    """The node sees both in one loop iteration with the attempt in flight; the id is free by then."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            client.writer.write(request(kind, X_Request_Id="mine"))
+            client.writer.write(request(class_name, X_Request_Id="mine"))
             await until(lambda: server.seen)
             server.script = says(answer())
-            with socket.create_connection(
-                rig.address
-            ) as again:  # the loop does not run until the receive below
+            # The event loop does not run until sock_recv below.
+            with socket.create_connection(rig.address) as new_socket:
                 client.leave("reset")
-                again.sendall(request(kind, X_Request_Id="mine"))
-                again.setblocking(False)
+                new_socket.sendall(request(class_name, X_Request_Id="mine"))
+                new_socket.setblocking(False)
                 loop = asyncio.get_running_loop()
-                assert (await loop.sock_recv(again, 4096)).startswith(b"HTTP/1.1 200 ")
+                assert (await loop.sock_recv(new_socket, 4096)).startswith(b"HTTP/1.1 200 ")
 
     run(test())
 
 
-@pytest.mark.parametrize("used", [False, True])
+@pytest.mark.parametrize("is_used", [False, True])
 @pytest.mark.parametrize("how", ["reclaim", "reclaim idle", "sweep", "stop"])
 def test_no_connection_with_an_unread_request_is_closed(
-    how: str, used: bool, monkeypatch: pytest.MonkeyPatch
+    how: str, is_used: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A complete request that is still in the kernel must not be reset unanswered."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            if used:
+            if is_used:
                 assert status(await client.ask(request())) == 200
             await until(lambda: rig.listener.table.connections)
             for name in (
@@ -628,9 +636,9 @@
                 "MIN_IDLE_SECONDS",
             ):
                 monkeypatch.setattr(connection_table, name, 0.0)
-            own = client.writer.get_extra_info("socket")
-            # The loop does not run to read it before the close below.
-            assert os.write(own.fileno(), request())
+            client_socket = client.writer.get_extra_info("socket")
+            # The event loop does not run, so the node does not read this before the close below.
+            assert os.write(client_socket.fileno(), request())
             if how == "reclaim":
                 rig.listener.table.reclaim_slot(connecting_count=0)
             elif how == "reclaim idle":
@@ -641,57 +649,59 @@
                 rig.listener.context.is_draining = True
                 rig.listener.table.close_unused()
             assert status(await client.read()) == 200
-            assert len(server.seen) == 1 + used
+            assert len(server.seen) == 1 + is_used
 
     run(test())
 
 
-def test_clients_queued_at_a_full_table_are_served_before_the_shutdown_ends() -> None:
+def test_clients_queued_at_a_full_table_are_answered_before_the_shutdown_ends() -> None:
     """The listening socket is not closed while clients wait to be accepted."""
     release = asyncio.Event()
 
-    async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer())
 
     async def test() -> None:
-        async with Server("s-1", waits) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", respond_when_released) as server, Rig(configuration(server)) as rig:
             rig.listener.table.max_connections = 2
             clients = [await rig.client() for _ in range(5)]
             for client in clients:
                 client.writer.write(request("order"))
             await until(lambda: len(server.seen) == 2)
-            stopping = asyncio.create_task(rig.shut_down(within=15.0))
+            shutdown = asyncio.create_task(rig.shut_down(within=15.0))
             await until(lambda: rig.listener.context.is_draining)
             release.set()
             assert [status(await client.read()) for client in clients] == [200] * 5
             for client in clients:
                 client.writer.close()
-            await stopping
+            await shutdown
 
     run(test())
 
 
 def test_a_request_completed_at_the_end_of_a_shutdown_is_rejected() -> None:
-    """It would be forwarded, and lost with the process."""
+    """Otherwise it would be forwarded, and its response lost when the process exits."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
-            waits, late = await rig.client(), await rig.client()
-            waits.writer.write(request("order"))
+            waiting, slow = await rig.client(), await rig.client()
+            waiting.writer.write(request("order"))
             data = request(body=b"text")
-            late.writer.write(data[:-1])
+            slow.writer.write(data[:-1])
             await until(lambda: server.seen and rig.listener.table._new)
             rig.node.fail_all_requests()
-            assert status(await waits.read()) == 504
-            got = await late.ask(data[-1:])
-            assert (status(got), got.headers["retry-after"]) == (503, "1.500")
+            assert status(await waiting.read()) == 504
+            response = await slow.ask(data[-1:])
+            assert (status(response), response.headers["retry-after"]) == (503, "1.500")
             assert len(server.seen) == 1
 
     run(test())
 
 
-def test_an_answer_that_is_not_flushed_at_the_end_is_waited_for() -> None:
+def test_a_shutdown_waits_until_a_response_is_fully_written() -> None:
+    """A response that a client reads slowly would otherwise be cut off by the shutdown."""
+
     async def test() -> None:
         large = says(answer(body=b"x" * 65536))
         async with Server("s-1", large) as server, Rig(configuration(server)) as rig:
@@ -706,15 +716,15 @@
                 node_side = connection._transport.get_extra_info("socket")
                 node_side.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(client, request())
-                await until(lambda: connection._write_timer is not None)  # a part is out, the rest is not
-                stopping = asyncio.create_task(rig.shut_down(within=15.0))
+                await until(lambda: connection._write_timer is not None)  # only a part is written
+                shutdown = asyncio.create_task(rig.shut_down(within=15.0))
                 await until(lambda: rig.listener._socket is None)
-                got = b""
-                while piece := await loop.sock_recv(client, 1 << 16):
-                    got += piece
-                    if got.endswith(b"x" * 65536):
+                received = b""
+                while data := await loop.sock_recv(client, 1 << 16):
+                    received += data
+                    if received.endswith(b"x" * 65536):
                         break
-                assert got.endswith(b"x" * 65536)
-            await stopping
+                assert received.endswith(b"x" * 65536)
+            await shutdown
 
     run(test())
--- a/tests/node/test_own_faults.py
+++ b/tests/node/test_own_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail on the node's own machine: no server is blamed, and retries back off."""
+"""System calls that fail locally: no server is ejected for them, and retries back off."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("name", ACCEPT_FAILURES)
 def test_a_failing_accept_is_retried_with_backoff(name: str, tmp_path: Path) -> None:
-    """The listening socket stays readable, so that a retry without backoff would use all CPU time."""
+    """The listening socket stays readable, so retrying without backoff would use all CPU time."""
 
     async def test() -> None:
         faults = Faults(tmp_path / "faults")
@@ -32,14 +32,14 @@
             client = await node.client()
             client.writer.write(request())
             await until(lambda: faults.get("accepts_failed"))
-            before = faults.get("accepts_failed")
+            failures_before = faults.get("accepts_failed")
             await asyncio.sleep(0.5)
-            assert 5 <= faults.get("accepts_failed") - before <= 60
+            assert 5 <= faults.get("accepts_failed") - failures_before <= 60
             faults.set(accept_errno=0)
             async with asyncio.timeout(0.5):
                 assert status(await client.read()) == 200
-            first = Client(*await asyncio.open_connection(*node.address))
-            assert status(await first.ask(request())) == 200
+            new_client = Client(*await asyncio.open_connection(*node.address))
+            assert status(await new_client.ask(request())) == 200
 
     run(test())
 
@@ -55,28 +55,30 @@
     "ENETUNREACH",
     "EHOSTUNREACH",
 )
-ONCE = says(answer(Connection="close"))  # each request needs a new connection
+RESPOND_AND_CLOSE = says(answer(Connection="close"))  # each request needs a new connection
 
 
-async def send_steadily(node: Program, span: float, interval: float) -> Counter[int]:
-    """Return the statuses of one request each `interval` s, each on a connection of its own."""
+async def send_steadily(node: Program, span_s: float, interval_s: float) -> Counter[int]:
+    """Send a request every `interval_s`, each on its own connection; return how often each status occurs."""
 
-    async def ask(number: int) -> int:
-        await asyncio.sleep(number * interval)
+    async def send_request(number: int) -> int:
+        await asyncio.sleep(number * interval_s)
         client = await node.client()
-        got = status(await client.ask(request()))
+        status_code = status(await client.ask(request()))
         client.writer.close()
-        return got
+        return status_code
 
-    return Counter(await asyncio.gather(*(ask(number) for number in range(int(span / interval)))))
+    return Counter(
+        await asyncio.gather(*(send_request(number) for number in range(int(span_s / interval_s))))
+    )
 
 
 @asynccontextmanager
-async def bed(folder: Path) -> AsyncIterator[tuple[Faults, list[Server], Program]]:
-    """Start a node whose system calls fail on command, and four servers."""
+async def local_faults_testbed(folder: Path) -> AsyncIterator[tuple[Faults, list[Server], Program]]:
+    """Start four servers, and a node whose system calls can be made to fail."""
     faults = Faults(folder / "faults")
     async with AsyncExitStack() as stack:
-        servers = [await stack.enter_async_context(Server(f"s-{n}", ONCE)) for n in range(4)]
+        servers = [await stack.enter_async_context(Server(f"s-{n}", RESPOND_AND_CLOSE)) for n in range(4)]
         started = program(configuration(*servers), folder, command=faults.command())
         yield faults, servers, await stack.enter_async_context(started)
 
@@ -86,31 +88,37 @@
     """Local faults neither eject a server nor use up the retries of a request."""
 
     async def test() -> None:
-        async with bed(tmp_path) as (faults, servers, node):
-            assert (await send_steadily(node, 1.2, 0.005)).keys() == {200}  # samples for the breaker
+        async with local_faults_testbed(tmp_path) as (faults, servers, node):
+            assert (await send_steadily(node, 1.2, 0.005)).keys() == {200}  # samples for the circuit breaker
             load = asyncio.create_task(send_steadily(node, 1.0, 0.005))
             await asyncio.sleep(0.2)
             faults.set(connect_errno=getattr(errno, name))
             await asyncio.sleep(0.5)
             faults.set(connect_errno=0)
             assert await load == {200: 200}
-            before = [len(server.seen) for server in servers]
+            counts_before = [len(server.seen) for server in servers]
             assert (await send_steadily(node, 0.5, 0.005)).keys() == {200}
-            got = [len(server.seen) - count for server, count in zip(servers, before, strict=True)]
-            assert min(got) > 10  # none is ejected
+            request_counts = [
+                len(server.seen) - count for server, count in zip(servers, counts_before, strict=True)
+            ]
+            assert min(request_counts) > 10  # none is ejected
 
     run(test())
 
 
 @pytest.mark.parametrize("name", ["ENETUNREACH", "EHOSTUNREACH", "ECONNREFUSED"])
 def test_requests_to_a_single_unreachable_server_go_to_the_others(name: str, tmp_path: Path) -> None:
+    """A fault of one server's address is that server's fault, and the others get the requests."""
+
     async def test() -> None:
-        async with bed(tmp_path) as (faults, servers, node):
+        async with local_faults_testbed(tmp_path) as (faults, servers, node):
             port = int(servers[0].address.rpartition(":")[2])
             faults.set(connect_errno=getattr(errno, name), connect_port=port)
-            begun = asyncio.get_running_loop().time()
+            start_time = asyncio.get_running_loop().time()
             assert (await send_steadily(node, 1.0, 0.005)).keys() == {200}
-            assert asyncio.get_running_loop().time() - begun < 1.5  # no request waits for it
+            assert (
+                asyncio.get_running_loop().time() - start_time < 1.5
+            )  # no request waits for the unreachable server
             assert not servers[0].seen
 
     run(test())
