--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request at one server, from the permission to write it to its single result."""
+"""One attempt to send a request to one server, from asking for permission to reporting its single result."""
 
 from __future__ import annotations
 
@@ -16,75 +16,80 @@
 from moleport.telemetry import Event
 from moleport.units import NS_PER_MS, NS_PER_SECOND, NS_PER_US
 
-MS_PER_S = 1000
-BACKOFF_BASE_S = 0.0025  # doubled for each local fault in connecting: the first backoff is twice this
-MAX_BACKOFF_DOUBLINGS = 4
+MS_PER_SECOND = 1000
+BACKOFF_BASE_S = 0.0025  # the backoff after the n-th local connect failure is this times 2**n
+MAX_BACKOFF_DOUBLINGS = 4  # bounds n in the formula of BACKOFF_BASE_S
 MAX_BACKOFF_S = 0.04
-MAX_UNROUTED_CONNECTS_COUNT = 8
-PERMISSION_POLL_INTERVAL_S = 0.002
-MAX_TIMER_DELAY_NS = 5 * NS_PER_MS  # a longer one means that the process was held up
-SOCKET_READ_DELAY_S = 0.001  # in which the event loop reads its sockets once
+MAX_LOCAL_FAULT_COUNT = 8  # beyond it, a connect failure without a route ends the attempt unsent
+PERMISSION_POLL_INTERVAL_S = 0.002  # between two calls of `authorize_write` while it returns WAIT
+MAX_TIMER_DELAY_NS = 5 * NS_PER_MS  # a timer that fires even later indicates a hold of the process
+SOCKET_READ_DELAY_S = 0.001  # long enough for the event loop to read each readable socket once
 
 UNSENT_RESULTS = (AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED)
-"""Results that say that the last byte of the request was not written."""
+"""Results that claim that the last byte of the request was not written."""
 
 
 class WritePermission(Enum):
-    """The owner's answer to an attempt that is about to connect or to write."""
+    """The owner's decision on an attempt that is about to connect or to write."""
 
     GRANTED = "write"
-    WAIT = "wait"  # poll again soon
-    DENIED = "stop"  # the attempt ends unsent
+    WAIT = "wait"  # the attempt asks again after PERMISSION_POLL_INTERVAL_S
+    DENIED = "stop"  # the attempt ends without sending the request
 
 
 class AttemptState(Enum):
-    """How far an attempt has come."""
+    """The progress of an attempt."""
 
-    WAITING = "waiting"  # for permission, or for a backoff to pass
-    CONNECTING = "connecting"
-    CONNECTED = "connected"  # the new connection has not carried a request
+    WAITING = "waiting"  # without a connection, until permission is granted or a backoff has passed
+    CONNECTING = "connecting"  # a connection to the server is being opened
+    CONNECTED = "connected"  # a new connection is open, and nothing has been written to it
     IN_FLIGHT = "in flight"  # the request is written, or being written
-    ENDED = "ended"  # by a response, a fault, a timer or `cancel`
+    ENDED = "ended"  # by a response, a fault, a timer or `Attempt.cancel`
 
 
 class AttemptOwner(Protocol):
-    """The party that starts attempts, permits their writes and takes their results."""
+    """The component that starts attempts, authorizes their writes and receives their results."""
 
     def authorize_write(self, attempt: Attempt) -> WritePermission:
-        """Return whether the attempt may connect, or write, now."""
+        """Decide whether the attempt may connect or write now."""
         ...
 
     def record_attempt_event(self, attempt: Attempt, event: Event) -> None:
         """Count and trace an event of the attempt."""
 
     def on_request_written(self, attempt: Attempt, timeout_ns: int, written_at_ns: int) -> None:
-        """Handle a request that is with the kernel, or in the write buffer in front of it.
+        """Handle a request that was passed to the kernel or to the transport's write buffer.
 
-        `timeout_ns` is the time left that the request states to the server, `written_at_ns` a monotonic time.
+        `timeout_ns` is the remaining time that the request states to the server in its X-Deadline header.
+        `written_at_ns` is the time of the write, in monotonic ns.
         """
 
     def on_written_ended_unsent(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Handle that an attempt was to end as not executed though its last byte is with the kernel."""
+        """Handle an attempt that was ended as not executed although its request is completely written.
+
+        `result` is the contradictory result; `on_attempt_ended` follows with CANCELLED in its place.
+        """
 
     def on_attempt_ended(
         self, attempt: Attempt, result: AttemptResult, response: ServerResponse | None
     ) -> None:
-        """Handle the result of an attempt; it comes exactly once for each."""
+        """Handle the result of an attempt; called exactly once for each attempt."""
 
 
 class Attempt:
-    """One request at one server.
+    """One attempt to send a request to one server.
 
-    It goes through the states of `AttemptState`, from WAITING to IN_FLIGHT and from each of them to ENDED.
-    Only `_enter` changes the state, on which alone depends whether the pool takes the attempt for unsent.
-    A local fault in connecting leads back to WAITING, and an idle connection from there to IN_FLIGHT.
+    The state advances from WAITING through CONNECTING and CONNECTED to IN_FLIGHT, and every state can change
+    to ENDED. An attempt that reuses an idle connection changes from WAITING to IN_FLIGHT directly. A local
+    fault while connecting changes the state back to WAITING. Only `_set_state` changes the state. Once the
+    attempt has started, the state alone determines whether the attempt is in `ConnectionPool.unsent`.
 
-    - WAITING and CONNECTED: polls its owner for permission (`_permission_timer`)
-    - CONNECTING: `_connect_task` runs
-    - CONNECTED: holds `_new_connection`
-    - IN_FLIGHT: its request is written, or being written, to `_connection`
+    - WAITING: `_permission_timer` runs, until the next call of `authorize_write` or the end of a backoff.
+    - CONNECTING: `_connect_task` runs.
+    - CONNECTED: `_new_connection` is set, and `_permission_timer` runs if the owner has returned WAIT.
+    - IN_FLIGHT: the request is written, or being written, to `_connection`.
 
-    `end` is the only way to ENDED; only its first call has an effect.
+    Only `end` changes the state to ENDED; its first call reports the result, later calls have no effect.
     """
 
     __slots__ = (
@@ -98,7 +103,7 @@
         "_owner",
         "_permission_timer",
         "_state",
-        "_write_timer",
+        "_write_deadline_timer",
         "effective_start_ns",
         "endpoint_id",
         "expires_at_ns",
@@ -122,20 +127,21 @@
         expires_at_ns: int,
         write_deadline_ns: int,
     ) -> None:
-        """Prepare an attempt that begins with `start`.
+        """Prepare an attempt; `start` begins it.
 
-        `head` is the request line and the headers without the closing empty line. All times are monotonic,
-        in ns; a `write_deadline_ns` of 0 sets no such limit. `effective_start_ns` is the time of the start
-        less the sum of holds until then; backoffs are added to it later.
+        `head` holds the request line and the headers without the blank line at their end. All times are in
+        monotonic ns. The attempt ends at `expires_at_ns` at the latest, and as not sent if the last byte of
+        its request is not written by `write_deadline_ns`; 0 sets no write deadline. `effective_start_ns` is
+        the time of the start minus the sum of all earlier holds; the attempt adds its backoffs to it.
         """
         self.request_number = request_number
-        self.index = index  # among the attempts of its request, from 0
+        self.index = index  # position among the attempts of the same request, from 0
         self.endpoint_id = endpoint_id
         self.pool = pool
-        self.effective_start_ns = effective_start_ns  # less the sum of holds, plus backoffs
+        self.effective_start_ns = effective_start_ns  # start minus the sum of earlier holds, plus backoffs
         self.expires_at_ns = expires_at_ns
         self.write_deadline_ns = write_deadline_ns
-        self.written_at_ns = 0  # 0: not written
+        self.written_at_ns = 0  # monotonic ns, set by the owner; 0: not written yet
         self._head = head
         self._body = body
         self._owner = owner
@@ -144,36 +150,42 @@
         self._connect_task: asyncio.Task[None] | None = None
         self._new_connection: ServerConnection | None = None
         self._permission_timer: asyncio.TimerHandle | None = None
-        self._local_fault_count = 0  # connects that failed for a fault of this machine or its network
+        self._local_fault_count = 0  # failed connects for which this machine or its network was at fault
         self._expiry_timer: asyncio.TimerHandle | None = None
-        self._write_timer: asyncio.TimerHandle | None = None
+        self._write_deadline_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin the attempt; it may end within this call."""
+        """Begin the attempt, which may end before this call returns."""
         if self.write_deadline_ns:
             remaining_s = max(0, self.write_deadline_ns - monotonic_ns()) / NS_PER_SECOND
-            self._write_timer = asyncio.get_running_loop().call_later(remaining_s, self.give_up_unwritten)
+            self._write_deadline_timer = asyncio.get_running_loop().call_later(
+                remaining_s, self.give_up_unwritten
+            )
         self._acquire_connection()
 
     def cancel(self) -> None:
-        """End the attempt because its request needs no response any more."""
+        """End the attempt because its request no longer needs a response."""
         self.end(AttemptResult.CANCELLED)
 
     def give_up_unwritten(self) -> None:
-        """End the attempt unless its request has been written."""
+        """End the attempt as not sent, unless its request is completely written."""
         if not self._is_written():
             self.end(AttemptResult.NOT_SENT)
 
     def end(self, result: AttemptResult, response: ServerResponse | None = None) -> None:
-        """Release timers and connections, and report the result to the owner; later calls have no effect."""
+        """Release timers and connections, and report the result to the owner.
+
+        Only the first call has an effect. A result of `UNSENT_RESULTS` is reported as CANCELLED if the
+        request is completely written.
+        """
         if self._state is AttemptState.ENDED:
             return
         if result in UNSENT_RESULTS and self._is_written():
-            # A retry could execute the request twice.
+            # An unsent result permits a retry, which could execute the request twice.
             self._owner.on_written_ended_unsent(self, result)
             result = AttemptResult.CANCELLED
-        self._enter(AttemptState.ENDED)
-        for timer in (self._expiry_timer, self._write_timer, self._permission_timer):
+        self._set_state(AttemptState.ENDED)
+        for timer in (self._expiry_timer, self._write_deadline_timer, self._permission_timer):
             if timer is not None:
                 timer.cancel()
         try:
@@ -191,41 +203,45 @@
         if connection is not None:
             connection.release(self)
 
-    def _enter(self, state: AttemptState) -> None:
-        """Change the state; the pool may end the attempt as unsent until it is in flight."""
+    def _set_state(self, state: AttemptState) -> None:
+        """Change the state; `ConnectionPool.unsent` holds the attempt unless it is in flight or has ended."""
         self._state = state
         if state is AttemptState.IN_FLIGHT or state is AttemptState.ENDED:
             self.pool.unsent.pop(self, None)
         else:
             self.pool.unsent[self] = None
 
-    # Connecting.
+    # Methods that obtain a connection.
 
     def _acquire_connection(self) -> None:
-        """Write to an idle connection, or open one, if the owner permits it.
+        """Write the request to an idle connection or open a new one, if the owner permits it.
 
-        Connecting needs permission too: it costs the server, and the client may have disconnected.
+        Connecting needs permission too, because it uses resources of the server and the client may have
+        disconnected.
         """
         if not self._has_permission(self._acquire_connection):
             return
-        connection = self.pool.take()
+        connection = self.pool.acquire()
         if connection is not None:
             self._write_request(connection)
         elif not self.pool.pools.ensure_capacity():
-            # A lack of descriptors in this process is no fault of the server.
+            # The server is not at fault if this process may open no further socket.
             self.end(AttemptResult.NOT_SENT)
         else:
-            self._enter(AttemptState.CONNECTING)
+            self._set_state(AttemptState.CONNECTING)
             self._start_timer(min(self.expires_at_ns, monotonic_ns() + self.pool.pools.connect_timeout_ns))
             self._connect_task = asyncio.get_running_loop().create_task(self._open_connection())
 
     def _has_permission(self, retry: Callable[[], None]) -> bool:
-        """Return whether the owner permits to go on; if it wants the attempt to wait, schedule `retry`."""
+        """Return whether the owner grants permission to connect or write.
+
+        The attempt ends as not sent if permission is denied. If the owner returns WAIT, `retry` is scheduled.
+        """
         permission = self._owner.authorize_write(self)
         if permission is WritePermission.DENIED:
             self.end(AttemptResult.NOT_SENT)
         elif permission is WritePermission.WAIT:
-            self._enter(AttemptState.CONNECTED if self._new_connection else AttemptState.WAITING)
+            self._set_state(AttemptState.CONNECTED if self._new_connection else AttemptState.WAITING)
             self._permission_timer = asyncio.get_running_loop().call_later(PERMISSION_POLL_INTERVAL_S, retry)
         return permission is WritePermission.GRANTED
 
@@ -233,7 +249,7 @@
         """Connect to the server, and write the request or handle the error."""
         connection = ServerConnection(self.pool)
         pools = self.pool.pools
-        pools.sockets += 1  # while it is connecting; an open connection counts itself
+        pools.sockets += 1  # until connecting ends; `ServerConnection` counts the open connection
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *self.pool.address)
         except asyncio.CancelledError:
@@ -241,25 +257,26 @@
             raise
         except OSError as error:
             self._connect_task = None
-            self._on_connect_failed(pools.fault_of_connect_error(self.pool.address, error))
+            self._on_connect_failed(pools.classify_connect_error(self.pool.address, error))
             return
         finally:
             pools.sockets -= 1
         self._connect_task = None
         pools.on_connected()
-        if self._state is AttemptState.ENDED:  # it ended in the same iteration of the event loop
+        if self._state is AttemptState.ENDED:  # in the iteration of the event loop that completed the connect
             connection.close()
         elif connection.closed:
             self.end(AttemptResult.CONNECT_FAILED)
         else:
             self._new_connection = connection
-            self._enter(AttemptState.CONNECTED)
+            self._set_state(AttemptState.CONNECTED)
             self._write_to_new_connection()
 
     def _on_connect_failed(self, fault: Fault) -> None:
-        """End the attempt if the server is at fault; else connect to the same server after a backoff.
+        """End the attempt if the server is at fault; otherwise connect again after a backoff.
 
-        A local fault is transient, and an attempt at another server would meet it too.
+        The attempt stays at the same server after a local fault, because such a fault is transient and would
+        affect a connection to any other server too.
         """
         if fault is Fault.PEER:
             self._owner.record_attempt_event(self, Event.CONNECT_FAILED)
@@ -267,21 +284,21 @@
             return
         self._owner.record_attempt_event(self, Event.CONNECT_FAILED_LOCALLY)
         self._local_fault_count += 1
-        if fault is Fault.PATH and self._local_fault_count > MAX_UNROUTED_CONNECTS_COUNT:
+        if fault is Fault.PATH and self._local_fault_count > MAX_LOCAL_FAULT_COUNT:
             self.end(AttemptResult.NOT_SENT)
             return
         if fault is Fault.DESCRIPTORS:
             self.pool.pools.close_longest_idle()
-        self._enter(AttemptState.WAITING)
+        self._set_state(AttemptState.WAITING)
         doublings = min(self._local_fault_count, MAX_BACKOFF_DOUBLINGS)
         backoff_s = min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2**doublings)
-        self.effective_start_ns += int(backoff_s * NS_PER_SECOND)  # not part of the server's response time
+        self.effective_start_ns += int(backoff_s * NS_PER_SECOND)  # excluded from the response time
         self._permission_timer = asyncio.get_running_loop().call_later(backoff_s, self._acquire_connection)
 
-    # Writing.
+    # Methods that write the request.
 
     def _write_to_new_connection(self) -> None:
-        """Write the request if the owner still permits it after connecting."""
+        """Write the request to the new connection if the owner still permits it."""
         if not self._has_permission(self._write_to_new_connection):
             return
         connection, self._new_connection = self._new_connection, None
@@ -289,8 +306,8 @@
         self._write_request(connection)
 
     def _write_request(self, connection: ServerConnection) -> None:
-        """Write the request with the time that is left, unless there is none."""
-        if connection.closed:  # by the server, while the attempt waited
+        """Write the request with its remaining time as X-Deadline, or end the attempt if no time remains."""
+        if connection.closed:  # the server closed it while the attempt waited for permission
             self.end(AttemptResult.CONNECT_FAILED)
             return
         now = monotonic_ns()
@@ -299,44 +316,46 @@
         if remaining_ns <= 0 or is_write_overdue:
             self._owner.record_attempt_event(self, Event.ATTEMPT_STOPPED_TOO_LATE)
             self.pool.return_unused(connection)
-            # Neither a passed write deadline nor time spent waiting here is the server's fault.
+            # A missed write deadline or time spent waiting in this process is not the server's fault.
             is_own_delay = is_write_overdue or self._permission_timer is not None
             self.end(AttemptResult.NOT_SENT if is_own_delay else AttemptResult.CONNECT_FAILED)
             return
-        # Nothing else stands between the clock and the write: a hold there makes the stated timeout too long.
+        # Nothing that may take long is done between reading the clock and this write: a hold between the two
+        # makes the timeout that the request states longer than the time that remains.
         connection.send(
             self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, remaining_ns // NS_PER_US, self._body)
         )
         written_at_ns = monotonic_ns()
         self._connection = connection
-        self._enter(AttemptState.IN_FLIGHT)
+        self._set_state(AttemptState.IN_FLIGHT)
         self._start_timer(self.expires_at_ns)
         self._owner.on_request_written(self, remaining_ns, written_at_ns)
 
     def _is_written(self) -> bool:
-        """Return whether the last byte of the request is with the kernel."""
+        """Return whether the kernel has accepted the last byte of the request."""
         return self._connection is not None and self._connection.written
 
-    # Time limits.
+    # Methods that enforce the time limit.
 
     def _start_timer(self, expires_at_ns: int) -> None:
-        """Set the timer that ends the attempt, in place of one that is set, never ahead of the time given.
+        """Start or replace the timer that ends the attempt at `expires_at_ns`, in monotonic ns, or later.
 
-        The event loop rounds to milliseconds. An attempt that timed out early would leave time for retries
-        too short for any server to answer, which would count as failures of these servers.
+        The delay is rounded up, because the event loop rounds to milliseconds and must not fire early: a
+        retry after an early timeout would have too little time for any server to respond, and its timeout
+        would count as a failure of that server.
         """
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
         delay_ms = max(0, expires_at_ns - monotonic_ns()) // NS_PER_MS + 1
         self._expiry_timer = asyncio.get_running_loop().call_later(
-            delay_ms / MS_PER_S, self._on_timer, expires_at_ns
+            delay_ms / MS_PER_SECOND, self._on_timer, expires_at_ns
         )
 
     def _on_timer(self, expires_at_ns: int) -> None:
-        """End the attempt as timed out.
+        """End the attempt as timed out, unless its response may still be unread.
 
-        After a hold the event loop may run timers ahead of its sockets, with the response unread in the
-        kernel. An overdue timer therefore lets it read the sockets first.
+        After a hold the event loop may run timers before it reads its sockets, while the response is in the
+        kernel's receive buffer. A timer that fires late therefore waits until the sockets have been read.
         """
         now = monotonic_ns()
         if now < expires_at_ns:
@@ -349,7 +368,7 @@
             self._end_timed_out()
 
     def _end_timed_out(self) -> None:
-        """End the attempt with the result that fits how far it got."""
+        """End the attempt with the result that matches its progress at the timeout."""
         if self._is_written():
             self.end(AttemptResult.TIMEOUT)
         elif self._local_fault_count or self._state is AttemptState.CONNECTED:
--- a/moleport/node/attempt_supervisor.py
+++ b/moleport/node/attempt_supervisor.py
@@ -1,4 +1,4 @@
-"""Starts attempts, grants or denies their writes, and reports their outcomes to the policy."""
+"""Starts attempts, authorizes their writes, and reports their outcomes to the policy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptSupervisor:
-    """The owner of all attempts."""
+    """The `AttemptOwner` of all attempts of the node."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         telemetry: Telemetry,
         dispatch_event: Callable[[api.Event], None],
     ) -> None:
-        """Report the outcomes to the policy through `dispatch_event`."""
+        """Report the outcomes of attempts to the policy through `dispatch_event`."""
         self._drain_grace_ns = config.drain_grace_ns
         self._max_attempts = config.policy_settings.max_attempts
         self._classes = config.policy_settings.classes
@@ -43,10 +43,11 @@
         self._parse_load_report = LoadReportParser(config.load_report_wire_names).parse
 
     def start_attempt(self, action: api.Forward) -> None:
-        """Start the next attempt of a request, or report at once that it was not sent."""
+        """Start the next attempt of a request, or report NOT_SENT at once if it may not be started."""
         request = self._active.get(action.request_id)
         if request is None:
-            # Its attempts so far are not known here any more; the policy ignores those that have ended.
+            # The request was removed, and its attempt count with it. Each possible index is reported; the
+            # policy ignores the indices of attempts that have already ended.
             for index in range(self._max_attempts):
                 self._report_not_sent(action.request_id, True, action.endpoint_id, index)
             return
@@ -70,7 +71,7 @@
             pool,
             request.client_request.head,
             request.client_request.body,
-            effective_start_ns=now - self._hold_detector.stalled_ns(),
+            effective_start_ns=now - self._hold_detector.total_hold_ns(),
             expires_at_ns=expires_at_ns,
             write_deadline_ns=action.write_deadline_ns,
         )
@@ -89,17 +90,18 @@
     def authorize_write(self, attempt: Attempt) -> WritePermission:
         """Decide whether an attempt may connect or write now.
 
-        The only check ahead of all that is sent to servers. Asked before each connect and each write, as the
-        client or the server may have left since the policy decided.
+        This is the only check before anything is sent to a server. It runs before each connect and each
+        write, because the client may have disconnected, or the server may have begun to drain, since the
+        policy's decision.
         """
         request = self._active.get(attempt.request_number)
         if request is None or request.is_answered:
             return WritePermission.DENIED
-        if attempt.pool.retired:
+        if attempt.pool.is_retired:
             self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_REMOVED)
             return WritePermission.DENIED
         if self._hold_detector.is_settling():
-            # An unread endpoint update may be older than the drain grace.
+            # The server's drain grace may have passed while the update about its drain was unread.
             self.record_attempt_event(attempt, Event.ATTEMPT_DELAYED_AFTER_STALL)
             return WritePermission.WAIT
         if request.client_left_at_ns or request.client_request.client.has_disconnected():
@@ -109,19 +111,19 @@
         return WritePermission.GRANTED
 
     def record_attempt_event(self, attempt: Attempt, event: Event) -> None:
-        """Count an event of one attempt."""
+        """Count and trace an event of one attempt."""
         self._telemetry.count(
             event, request=attempt.request_number, attempt=attempt.index, server=attempt.endpoint_id
         )
 
     def on_request_written(self, attempt: Attempt, timeout_ns: int, written_at_ns: int) -> None:
-        """Check the invariants at the time of an attempt's write, in monotonic ns.
+        """Check the invariants for an attempt whose request was written at `written_at_ns`, in monotonic ns.
 
-        `timeout_ns` is the time left that the request states to the server, in X-Deadline.
+        `timeout_ns` is the remaining time that the request states to the server in X-Deadline.
         """
         now = written_at_ns
         request = self._active.get(attempt.request_number)
-        assert request is not None  # it has this attempt in flight
+        assert request is not None  # a request stays active while an attempt is in flight
         self.record_attempt_event(attempt, Event.ATTEMPT_WRITTEN)
         if attempt.index:
             self._telemetry.count(Event.ATTEMPT_RETRIED)
@@ -136,7 +138,7 @@
             is_answered=request.is_answered,
             since_execution_ns=now - request.first_execution_ns if request.first_execution_ns else None,
             since_client_disconnect_ns=now - request.client_left_at_ns if request.client_left_at_ns else None,
-            since_endpoint_removal_ns=now - pool.retired_at_ns if pool.retired else None,
+            since_endpoint_removal_ns=now - pool.retired_at_ns if pool.is_retired else None,
             drain_grace_ns=self._drain_grace_ns,
             timeout_ns=timeout_ns,
             remaining_ns=request.client_request.deadline_ns - now,
@@ -151,7 +153,7 @@
         attempt.written_at_ns = now
 
     def on_written_ended_unsent(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Report a result that contradicts what was written."""
+        """Report the violation that an attempt was ended as not executed after its request was written."""
         self._telemetry.violate(
             Invariant.RESULT_MATCHES_WRITE,
             request=attempt.request_number,
@@ -162,10 +164,10 @@
     def on_attempt_ended(
         self, attempt: Attempt, result: AttemptResult, response: ServerResponse | None
     ) -> None:
-        """Send a final response to the client, if there is one, and report the outcome to the policy."""
+        """Send a response that is final to the client, and report the outcome to the policy."""
         request = self._active[attempt.request_number]
-        # A hold is subtracted whole, also the part of it before the attempt's start.
-        elapsed_ns = max(0, monotonic_ns() - self._hold_detector.stalled_ns() - attempt.effective_start_ns)
+        # The complete length of a hold is subtracted, including the part of it before the attempt's start.
+        elapsed_ns = max(0, monotonic_ns() - self._hold_detector.total_hold_ns() - attempt.effective_start_ns)
         if result not in NOT_EXECUTED and not request.first_execution_ns:
             request.first_execution_ns = attempt.written_at_ns or monotonic_ns()
         del request.attempts[attempt.index]
@@ -200,5 +202,5 @@
         if result is AttemptResult.OK:
             self._requests.send_final_response(request.request_number, 200, response.headers, response.body)
         elif result is AttemptResult.CLIENT_ERROR:
-            # The request itself is at fault: a retry at another server would get the same response.
+            # The request itself is at fault, so a retry at another server would get the same response.
             self._requests.send_final_response(request.request_number, response.status, [])
--- a/moleport/node/connection_pool.py
+++ b/moleport/node/connection_pool.py
@@ -11,31 +11,39 @@
     from moleport.node.connection_pools import ConnectionPools
     from moleport.node.server_connection import ServerConnection
 
-COOL_DOWN_NS = 5_000_000  # after a response, in which a duplicate of it may still arrive
+# A connection that became idle is not reused for this long, because a duplicate of its last response may
+# still arrive.
+COOL_DOWN_NS = 5_000_000
 
 
 class ConnectionPool:
-    """The idle connections to one incarnation of a server, and the attempts still unsent.
+    """The idle connections to one incarnation of a server, and the attempts that are still unsent.
 
-    A server that restarts or moves to another address gets a new pool, so that it inherits no connection.
+    A server that restarts or changes its address gets a new pool, so that no connection to its previous
+    incarnation is reused.
     """
 
-    __slots__ = ("address", "idle", "pools", "retired", "retired_at_ns", "started_at_ns", "unsent")
+    __slots__ = ("address", "idle", "is_retired", "pools", "retired_at_ns", "started_at_ns", "unsent")
 
     def __init__(self, pools: ConnectionPools, address: tuple[str, int], started_at_ns: int) -> None:
-        """Start empty, for the server at `address` (host, port) that started at monotonic `started_at_ns`."""
+        """Create an empty pool for the server at `address` (host, port).
+
+        `started_at_ns` is the start of the server in monotonic ns; 0: long ago.
+        """
         self.pools = pools
         self.address = address
         self.started_at_ns = started_at_ns
-        self.retired = False
-        self.retired_at_ns = 0  # monotonic
+        self.is_retired = False
+        self.retired_at_ns = 0  # monotonic ns; 0: not retired
         self.idle: list[ServerConnection] = []  # ordered by idle_since_ns, the most recently used last
-        self.unsent: dict[Attempt, None] = {}  # kept by the attempts; a set would take more memory
+        # An ordered set that the attempts update themselves; a `set` would use more memory.
+        self.unsent: dict[Attempt, None] = {}
 
-    def take(self) -> ServerConnection | None:
+    def acquire(self) -> ServerConnection | None:
         """Remove and return the most recently used connection that can carry a request, if there is one.
 
-        Connections that have ended, were idle for too long or have unread data are closed on the way.
+        Connections that are closed, have been idle for too long or have unread data are removed and closed
+        during the search. Connections that became idle less than COOL_DOWN_NS ago are left in the pool.
         """
         now = monotonic_ns()
         for index in range(len(self.idle) - 1, -1, -1):
@@ -45,40 +53,43 @@
             del self.idle[index]
             if (
                 not connection.closed
-                and connection.idle_since_ns >= now - self.pools.idle_limit_ns
-                and connection.is_quiet()
+                and connection.idle_since_ns >= now - self.pools.max_idle_ns
+                and connection.has_no_unread_data()
             ):
                 return connection
             connection.close()
         return None
 
-    def put(self, connection: ServerConnection) -> None:
-        """Add a connection that has just delivered a response; its idle time begins now."""
+    def return_used(self, connection: ServerConnection) -> None:
+        """Add a connection that has just received a response; its idle time starts now."""
         connection.idle_since_ns = monotonic_ns()
         self._add_idle(connection)
 
     def return_unused(self, connection: ServerConnection) -> None:
-        """Add a connection that carried no request since it was taken or opened; its idle time goes on."""
+        """Add a connection that has carried no request since it was acquired or opened.
+
+        Its idle time continues if it was idle before, and starts now otherwise.
+        """
         if not connection.idle_since_ns:
             connection.idle_since_ns = monotonic_ns()
         self._add_idle(connection)
 
     def _add_idle(self, connection: ServerConnection) -> None:
-        """Keep a connection in the order of idle times, unless it or the pool has ended."""
-        if self.retired or connection.closed:
+        """Insert a connection in the order of idle times, unless it is closed or the pool is retired."""
+        if self.is_retired or connection.closed:
             connection.close()
         else:
             insort(self.idle, connection, key=_idle_since_ns)
-            self.pools.with_idle[self] = None
+            self.pools.pools_with_idle_connections[self] = None
 
     def on_disconnected(self, connection: ServerConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection from the pool and from the socket count."""
         self.pools.sockets -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
     def close_idle(self, idle_before_ns: int | None = None) -> None:
-        """Close all idle connections, or those that are idle since before a monotonic time."""
+        """Close all idle connections, or those idle since before `idle_before_ns`, in monotonic ns."""
         expired = [
             connection
             for connection in self.idle
@@ -89,11 +100,11 @@
             connection.close()
 
     def retire(self) -> None:
-        """Send nothing more, because the server drains, was removed or has restarted.
+        """Stop sending requests, because the server is draining, was removed, has moved or has restarted.
 
-        Requests in flight go on; attempts that wait or connect end unsent.
+        Requests in flight continue; attempts whose request is not written yet end as not sent.
         """
-        self.retired = True
+        self.is_retired = True
         self.retired_at_ns = monotonic_ns()
         self.close_idle()
         for attempt in list(self.unsent):
@@ -101,5 +112,5 @@
 
 
 def _idle_since_ns(connection: ServerConnection) -> int:
-    """Return the sort key of idle connections."""
+    """Return the sort key of idle connections, in monotonic ns."""
     return connection.idle_since_ns
--- a/moleport/node/connection_pools.py
+++ b/moleport/node/connection_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all servers, within the sockets that the node may use for them."""
+"""The connection pools of all servers, which together use a limited number of sockets."""
 
 from __future__ import annotations
 
@@ -11,22 +11,31 @@
 from moleport.policy.interface import EndpointId
 from moleport.units import NS_PER_SECOND
 
-IDLE_TIMEOUT_FRACTION = 0.9  # of the server's idle timeout: a request that is written after that is lost
-MIN_UNREACHABLE_SERVERS = 2  # as many without a route (or all, if fewer) mean that the network is at fault
+# A connection is not reused after this fraction of the server's idle timeout: a request that is written when
+# the server has closed the connection is lost.
+IDLE_TIMEOUT_FRACTION = 0.9
+# If at least this many addresses (or all, if there are fewer servers) have no route, the network is at fault.
+MIN_UNREACHABLE_SERVERS = 2
 
 
 class ConnectionPools:
-    """One connection pool for each endpoint, and the limit on sockets over all of them."""
+    """One connection pool for each endpoint, and a limit on the sockets of all pools together."""
 
     def __init__(self, max_sockets: int, connect_timeout_ns: int, idle_timeout_ns: int) -> None:
-        """Start without pools; `idle_timeout_ns` is that of the servers."""
-        self.sockets = 0  # open or connecting
+        """Start without pools.
+
+        `max_sockets` limits the connections to servers, open or connecting. `idle_timeout_ns` is the time
+        after which a server closes an idle connection.
+        """
+        self.sockets = 0  # number of connections to servers that are open or connecting
         self.connect_timeout_ns = connect_timeout_ns
-        self.idle_limit_ns = int(idle_timeout_ns * IDLE_TIMEOUT_FRACTION)
-        self.with_idle: dict[ConnectionPool, None] = {}  # an ordered set; may hold pools without idle ones
+        self.max_idle_ns = int(idle_timeout_ns * IDLE_TIMEOUT_FRACTION)
+        # An ordered set. A pool without idle connections is removed from it by the next sweep.
+        self.pools_with_idle_connections: dict[ConnectionPool, None] = {}
         self._max_sockets = max_sockets
         self._pools: dict[EndpointId, ConnectionPool] = {}
-        self._unreachable: set[tuple[str, int]] = set()  # addresses without a route since the last success
+        # Addresses without a route, since a connection to any server was last established.
+        self._unreachable_addresses: set[tuple[str, int]] = set()
         self._sweep_interval_s = idle_timeout_ns * (1 - IDLE_TIMEOUT_FRACTION) / 2 / NS_PER_SECOND
 
     def start(self) -> None:
@@ -35,19 +44,22 @@
 
     def _close_expired(self) -> None:
         """Close connections that have been idle for too long, and schedule the next sweep."""
-        idle_before_ns = monotonic_ns() - self.idle_limit_ns
-        for pool in list(self.with_idle):
+        idle_before_ns = monotonic_ns() - self.max_idle_ns
+        for pool in list(self.pools_with_idle_connections):
             pool.close_idle(idle_before_ns)
             if not pool.idle:
-                del self.with_idle[pool]
+                del self.pools_with_idle_connections[pool]
         self.start()
 
     def get(self, endpoint_id: EndpointId) -> ConnectionPool | None:
-        """Return the pool of an endpoint, or None if nothing may be sent to it."""
+        """Return the pool of an endpoint, or None if no request may be sent to the endpoint."""
         return self._pools.get(endpoint_id)
 
     def add_endpoint(self, endpoint_id: EndpointId, address: tuple[str, int], started_at_ns: int) -> None:
-        """Give an endpoint a pool, a new one if its address (host, port) or start time has changed."""
+        """Create a pool for an endpoint, and replace its pool if its address or start time has changed.
+
+        `address` is (host, port), `started_at_ns` a time in monotonic ns. A replaced pool is retired.
+        """
         pool = self._pools.get(endpoint_id)
         if pool is not None and (pool.address, pool.started_at_ns) == (address, started_at_ns):
             return
@@ -56,29 +68,29 @@
             pool.retire()
 
     def retire_endpoint(self, endpoint_id: EndpointId) -> None:
-        """Remove and retire the pool of an endpoint, if it has one."""
+        """Remove and retire the pool of an endpoint, if there is one."""
         pool = self._pools.pop(endpoint_id, None)
         if pool is not None:
             pool.retire()
 
     def endpoint_ids(self) -> KeysView[EndpointId]:
-        """Return a live view of the endpoints that have a pool."""
+        """Return a live view of the ids of the endpoints that have a pool."""
         return self._pools.keys()
 
     def ensure_capacity(self) -> bool:
-        """Return whether one more connection may be opened, after closing an idle one if need be.
+        """Return whether one more connection may be opened; at the limit, close an idle connection first.
 
-        The descriptor of the closed connection is free only in a later iteration of the event loop, so that
-        the limit may be exceeded until then.
+        The event loop frees the descriptor of the closed connection in a later iteration, so the limit may
+        be exceeded until then.
         """
         return self.sockets < self._max_sockets or self.close_longest_idle()
 
     def close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest, and return whether there was one.
 
-        Its descriptor is free only in a later iteration of the event loop.
+        The event loop frees its descriptor in a later iteration.
         """
-        idle_pools = [pool for pool in self.with_idle if pool.idle]
+        idle_pools = [pool for pool in self.pools_with_idle_connections if pool.idle]
         if not idle_pools:
             return False
         oldest = min(idle_pools, key=lambda pool: pool.idle[0].idle_since_ns)
@@ -86,20 +98,20 @@
         return True
 
     def on_connected(self) -> None:
-        """Note that a server can be reached, so that the network is not at fault."""
-        self._unreachable.clear()
+        """Record that a server was reached, so that the network is not at fault."""
+        self._unreachable_addresses.clear()
 
-    def fault_of_connect_error(self, address: tuple[str, int], error: OSError) -> Fault:
-        """Return the party at fault for an error in connecting to an address.
+    def classify_connect_error(self, address: tuple[str, int], error: OSError) -> Fault:
+        """Return the party at fault for an error that occurred while connecting to an address.
 
-        An error without a route counts as the server's own fault until, with no successful connection in
-        between, `MIN_UNREACHABLE_SERVERS` addresses have had one; from then on the network is at fault. With
-        a single pool, or none, the network is at fault at once.
+        A missing route counts as a fault of the server until `MIN_UNREACHABLE_SERVERS` addresses have had no
+        route, with no successful connection in between; from then on the network is at fault. With a single
+        pool, or none, the network is at fault at once.
         """
         fault = fault_of(error)
         if fault is not Fault.PATH:
             return fault
-        self._unreachable.add(address)
-        if len(self._unreachable) < min(MIN_UNREACHABLE_SERVERS, len(self._pools)):
+        self._unreachable_addresses.add(address)
+        if len(self._unreachable_addresses) < min(MIN_UNREACHABLE_SERVERS, len(self._pools)):
             return Fault.PEER
         return Fault.PATH
--- a/moleport/node/consistency_check.py
+++ b/moleport/node/consistency_check.py
@@ -1,7 +1,7 @@
-"""Check every second that the node's state agrees with itself.
+"""Checks every second that the state of the node is consistent.
 
-Two things are checked: no request and no attempt outlives its deadline, and the policy counts as many
-attempts in flight as the node has. A violation is counted and logged, and repairs nothing.
+No request and no attempt may be active after its deadline, and the policy must count as many attempts in
+flight as the node. A violation is counted and logged; it is not repaired.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from moleport.units import NS_PER_MS
 
 CHECK_PERIOD_SECONDS = 1.0
-MAX_OVERDUE_NS = 500 * NS_PER_MS  # after its deadline a request or an attempt may still be active
+MAX_OVERDUE_NS = 500 * NS_PER_MS  # a request or attempt is reported if active for longer after its deadline
 
 
 class ConsistencyCheck:
-    """Compares what the node and the policy hold of requests and attempts."""
+    """Finds overdue requests and attempts, and compares the attempt counts of the node and of the policy."""
 
     def __init__(
         self,
@@ -30,13 +30,16 @@
         hold_detector: HoldDetector,
         telemetry: Telemetry,
     ) -> None:
-        """Check active requests, by number, against the policy's count of attempts in flight."""
+        """Prepare a check of `active_requests`, by request number; `start` schedules it.
+
+        `policy_attempt_count` returns the number of attempts that the policy counts as in flight.
+        """
         self._active_requests = active_requests
         self._policy_attempt_count = policy_attempt_count
         self._hold_detector = hold_detector
         self._telemetry = telemetry
-        self._overdue: set[tuple[int, int | None]] = set()  # reported: request, and attempt or None
-        self._excess_count = 0  # attempts that the policy counted beyond the node's, when last checked
+        self._reported_overdue: set[tuple[int, int | None]] = set()  # (request number, attempt index or None)
+        self._excess_count = 0  # policy's count of attempts minus the node's, at the last check
 
     def start(self) -> None:
         """Schedule the next check on the running event loop."""
@@ -44,11 +47,11 @@
 
     def _on_timer(self) -> None:
         self.start()
-        if not self._hold_detector.is_settling():  # what fell due in a hold may not be handled yet
+        if not self._hold_detector.is_settling():  # timers that were due in a hold may not have run yet
             self.check()
 
     def check(self) -> None:
-        """Report each overdue request and attempt once, and each change of the policy's excess."""
+        """Report each overdue request and attempt once, and each new difference of the attempt counts."""
         self._check_overdue(monotonic_ns() - MAX_OVERDUE_NS)
         self._check_attempt_counts()
 
@@ -60,9 +63,9 @@
             for index, attempt in request.attempts.items():
                 if attempt.expires_at_ns < latest_deadline_ns:
                     overdue.add((request.request_number, index))
-        for request_number, attempt_index in overdue - self._overdue:
+        for request_number, attempt_index in overdue - self._reported_overdue:
             self._telemetry.violate(Invariant.ENDED_IN_TIME, request=request_number, attempt=attempt_index)
-        self._overdue = overdue
+        self._reported_overdue = overdue
 
     def _check_attempt_counts(self) -> None:
         node_count = sum(len(request.attempts) for request in self._active_requests.values())
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch of discovery: one connection at a time, on which updates of the endpoint list arrive."""
+"""The discovery watch: a long-lived HTTP response in which discovery sends updates of the endpoint list."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 log = logging.getLogger(__name__)
 
-# From the opening of a watch to its response headers: an agent on the same machine, which responds at once;
-# a discovery service that all nodes share, where calls are queued.
+# The response timeouts limit the time from the opening of a watch to the headers of its response. A discovery
+# agent on the same machine responds at once; a discovery service that all nodes share queues their requests.
 AGENT_RESPONSE_TIMEOUT_S = 0.5
 SHARED_RESPONSE_TIMEOUT_S = 2.5
 # Discovery sends an empty line at once, and then at least every 2 s. White space between two JSON objects,
-# as an empty line is, counts as data.
-FIRST_DATA_TIMEOUT_S = 2.5
-DATA_TIMEOUT_S = 3.0
-MAX_UPDATE_BYTES = 4 << 20
+# such as an empty line, counts as data.
+FIRST_DATA_TIMEOUT_S = 2.5  # from the opening of a watch to the first data
+DATA_TIMEOUT_S = 3.0  # between data and further data
+MAX_UPDATE_BYTES = 4 << 20  # a longer update ends the watch
 SLICE_ENTRY_COUNT = 512  # entries of an update that are parsed in one loop iteration, in about 1 ms
 
 
 @dataclass(slots=True, eq=False)
 class _PartialUpdate:
-    """An update whose entries are being parsed; reported once all of them are valid."""
+    """An update whose entries are being parsed; it is reported once all of them are parsed and valid."""
 
     watch: WatchConnection
     version: int
@@ -46,7 +46,7 @@
 
 
 class DiscoveryClient:
-    """Holds at most one watch, opened on request; reports each watch that ends once."""
+    """Opens a watch on request, at most one at a time, and reports the end of each watch once."""
 
     def __init__(
         self,
@@ -56,14 +56,18 @@
         on_failed: Callable[[], None],
         response_timeout_s: float = AGENT_RESPONSE_TIMEOUT_S,
     ) -> None:
-        """Ask for the updates after `version`; use the running event loop."""
+        """Prepare for a watch of `address` (host, port); `watch` opens it on the running event loop.
+
+        The first watch requests the updates after `version`. `on_update` is called with each valid update,
+        `on_failed` at the end of each watch that was not closed by this client.
+        """
         self.response_timeout_s = response_timeout_s
         self._address = address
         self._version = version
         self._on_update = on_update
         self._on_failed = on_failed
         self._watch: WatchConnection | None = None
-        self._opening: asyncio.Task[None] | None = None
+        self._connect_task: asyncio.Task[None] | None = None
         self._partial_update: _PartialUpdate | None = None
         self._loop = asyncio.get_running_loop()
 
@@ -72,13 +76,13 @@
         if self._watch is not None:
             return
         self._watch = WatchConnection(self)
-        self._opening = self._loop.create_task(self._open(self._watch))
+        self._connect_task = self._loop.create_task(self._open(self._watch))
 
     def move(self, address: tuple[str, int]) -> None:
-        """Watch at another address from now on.
+        """Close the watch and open one at another address (host, port), if the address has changed.
 
-        The end of the old watch is not reported. Version numbers belong to one address, so the new watch
-        asks for a snapshot.
+        The end of the old watch is not reported. Version numbers are specific to an address, so the new
+        watch requests a snapshot.
         """
         if address == self._address:
             return
@@ -89,13 +93,13 @@
         self.watch()
 
     def close(self) -> None:
-        """Close the watch without a report, and drop an update that is not parsed completely."""
+        """Close the watch without a report, and discard an update that is not completely parsed."""
         watch = self._watch
         self._watch = None
         self._partial_update = None
-        if self._opening is not None:
-            self._opening.cancel()
-            self._opening = None
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+            self._connect_task = None
         if watch is not None:
             watch.close()
 
@@ -109,27 +113,29 @@
         try:
             await self._loop.create_connection(lambda: watch, *self._address)
         except OSError as error:
-            self.on_watch_ended(watch, f"no connection: {error!r}")
+            self.on_watch_ended(watch, f"connecting to {self._address} failed: {error!r}")
 
     def is_current(self, watch: WatchConnection) -> bool:
-        """Whether a watch has been neither closed nor replaced."""
+        """Return whether a watch has been neither closed nor replaced."""
         return watch is self._watch
 
-    # Updates.
+    # Methods that process updates.
 
-    def on_object(self, watch: WatchConnection, text: bytes) -> None:
-        """Parse a JSON object that a watch has received; the watch ends if it is no valid update."""
+    def on_json_object(self, watch: WatchConnection, text: bytes) -> None:
+        """Parse a JSON object that a watch has received; the watch ends if it is not a valid update."""
         self.finish_parsing()
         if watch is not self._watch:
             return
         try:
-            # Decoded in one call, unlike the entries, as `json` has no incremental decoder.
-            # `MAX_UPDATE_BYTES` bounds the time that it takes.
+            # The text is decoded in one call, because `json` has no incremental decoder. `MAX_UPDATE_BYTES`
+            # limits the time that this takes. The entries are parsed in slices later.
             version, is_snapshot, entries = parse_update_header(json.loads(text))
-            # An older update, even a snapshot, would revert what is known. If discovery has restarted its
-            # count, the next watch shows it, as that asks for a snapshot.
+            # An older update, even a snapshot, would revert newer changes. If discovery has restarted its
+            # version count, the update is accepted on the next watch, which requests a snapshot.
             if version < self._version:
-                raise EndpointListError(f"version {version} after {self._version}")
+                raise EndpointListError(
+                    f"version {version} is older than the current version {self._version}"
+                )
         except (ValueError, RecursionError, EndpointListError) as error:
             self._reject_update(watch, error)
             return
@@ -139,14 +145,14 @@
             self._loop.call_soon(self._continue_parsing, self._partial_update)
 
     def _continue_parsing(self, update: _PartialUpdate) -> None:
-        """Parse one slice in each loop iteration, so that requests are served in between."""
+        """Parse one slice in each loop iteration, so that requests are served between the slices."""
         if update is self._partial_update:
             self._parse_slice()
         if update is self._partial_update:
             self._loop.call_soon(self._continue_parsing, update)
 
     def finish_parsing(self) -> None:
-        """Parse the rest of the current update, so that it is reported ahead of what happens next."""
+        """Parse the rest of the current update at once, so that it is reported before any later event."""
         while self._partial_update is not None:
             self._parse_slice()
 
@@ -166,23 +172,25 @@
 
     def _reject_update(self, watch: WatchConnection, error: Exception) -> None:
         self._partial_update = None
-        self._version = 0  # the content of the rejected update is unknown: ask for a snapshot
-        self.on_watch_ended(watch, f"bad update: {error}")
+        self._version = (
+            0  # the changes in the rejected update are unknown, so the next watch requests a snapshot
+        )
+        self.on_watch_ended(watch, f"invalid update: {error}")
 
     def on_watch_ended(self, watch: WatchConnection, reason: str) -> None:
-        """Report the end of the current watch; further reports on the same one are ignored."""
+        """Log and report the end of the current watch; calls for any other watch are ignored."""
         if watch is not self._watch:
             return
         self.close()
-        log.warning("watch ended: %s", reason)
+        log.warning("discovery watch ended: %s", reason)
         self._on_failed()
 
 
 class WatchConnection(asyncio.Protocol):
-    """The connection of one watch, which turns the bytes of the response into JSON objects."""
+    """The connection of one watch, which splits the body of the response into JSON objects."""
 
     def __init__(self, owner: DiscoveryClient) -> None:
-        """Start the timeout for the response headers."""
+        """Start the timeout for the headers of the response."""
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpResponseParser | None = None  # while the connection is open
@@ -190,17 +198,19 @@
         self._loop = asyncio.get_running_loop()
         self._opened_at = self._loop.time()
         self._timeout = self._loop.call_at(
-            self._opened_at + owner.response_timeout_s, self._fail, "no response"
+            self._opened_at + owner.response_timeout_s,
+            self._end_watch,
+            f"no response headers within {owner.response_timeout_s} s",
         )
 
     def close(self) -> None:
         """Close the connection without a report."""
         self._timeout.cancel()
-        self._parser = None  # breaks the reference cycle between the two
+        self._parser = None  # breaks the reference cycle between the HTTP parser and this object
         if self._transport is not None:
             self._transport.abort()
 
-    def _fail(self, reason: str) -> None:
+    def _end_watch(self, reason: str) -> None:
         if self._owner.is_current(self):
             try:
                 self._owner.finish_parsing()
@@ -208,21 +218,22 @@
                 self._owner.on_watch_ended(self, reason)
         self.close()
 
-    def _expect_data_by(self, deadline: float) -> None:
-        """Let the watch fail at a time of the loop's clock, in s, unless this is called again before.
+    def _set_data_deadline(self, deadline: float) -> None:
+        """End the watch at `deadline`, in seconds of the loop's clock, unless this is called again before.
 
-        A connection may die without notice. Data counts if it completes an object or ends between
-        two objects.
+        The other end of a connection may fail without closing it. The deadline is extended by data that
+        completes a JSON object or that ends between two objects.
         """
         self._timeout.cancel()
         if self._owner.is_current(self):
-            self._timeout = self._loop.call_at(deadline, self._fail, "silence")
+            self._timeout = self._loop.call_at(deadline, self._end_watch, "no data before the timeout")
 
-    # Called by the event loop.
+    # Methods that the event loop calls.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request, unless the watch was closed while it was being opened."""
-        self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Send the request, unless the watch was closed while it was connecting."""
+        # The cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
+        self._transport = transport = cast(asyncio.Transport, transport)
         if self._owner.is_current(self):
             self._parser = httptools.HttpResponseParser(self)
             transport.write(self._owner.watch_request())
@@ -230,42 +241,42 @@
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the HTTP parser; malformed HTTP ends the watch."""
+        """Pass data to the HTTP parser; malformed HTTP ends the watch."""
         parser = self._parser
         if parser is None:
             return
         try:
             parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(f"malformed response: {error!r}")
+            self._end_watch(f"malformed HTTP response: {error!r}")
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end of the watch."""
         self._timeout.cancel()
-        self._fail(f"connection ended: {exc!r}")
+        self._end_watch(f"connection closed: {exc!r}")
 
-    # Called by the HTTP parser.
+    # Callbacks of the HTTP parser.
 
     def on_headers_complete(self) -> None:
-        """Check the status; interim responses (1xx) are skipped."""
+        """Check the status and start the timeout for the first data; skip interim (1xx) responses."""
         if self._parser is None:
             return
         status = self._parser.get_status_code()
         if status == 200:
-            self._expect_data_by(self._opened_at + FIRST_DATA_TIMEOUT_S)
+            self._set_data_deadline(self._opened_at + FIRST_DATA_TIMEOUT_S)
         elif status >= 200:
-            self._fail(f"status {status}")
+            self._end_watch(f"response status {status} in place of 200")
 
     def on_body(self, data: bytes) -> None:
-        """Pass on the JSON objects that the data completes."""
+        """Pass the JSON objects that the data completes to the owner, and extend the deadline for data."""
         objects = self._splitter.feed(data)
         for text in objects:
-            self._owner.on_object(self, text)
+            self._owner.on_json_object(self, text)
         if objects or self._splitter.is_between_objects():
-            self._expect_data_by(self._loop.time() + DATA_TIMEOUT_S)
+            self._set_data_deadline(self._loop.time() + DATA_TIMEOUT_S)
         if self._splitter.buffered_bytes() > MAX_UPDATE_BYTES:
-            self._fail(f"an update longer than {MAX_UPDATE_BYTES} bytes")
+            self._end_watch(f"update exceeds {MAX_UPDATE_BYTES} bytes")
 
     def on_message_complete(self) -> None:
-        """Report the end of the watch, as its response has no end of its own."""
-        self._fail("response ended")
+        """End the watch; discovery ends the response only when it ends the watch."""
+        self._end_watch("discovery ended the response")
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -1,8 +1,8 @@
-"""Keeps the endpoint list, the connection pools and the policy in step with discovery.
+"""Keeps the endpoint list, the connection pools and the policy consistent with discovery.
 
-An update arrives in `EndpointList.on_update`, is compared with the known list, and reaches the policy as
-`EndpointUpdate` events. Updates of many endpoints are applied in slices, between which the event loop serves
-requests.
+`EndpointList.on_update` receives an update, compares it with the known list, and passes the changes to the
+policy as `EndpointUpdate` events. A long update is applied in slices, and the event loop serves requests
+between two slices.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from moleport.policy.interface import DiscoveryMode, EndpointState, EndpointUpdateKind
 from moleport.telemetry import Event, Telemetry
 
-RESYNC_DELAY_S = 1.0
+RESYNC_DELAY_S = 1.0  # from an update that the policy failed on to the complete list
 SLICE_ENDPOINT_COUNT = 256  # endpoints that the policy is notified of in one loop iteration
 
 
 class EndpointList:
-    """The endpoints as the policy knows them, and the watch that updates them."""
+    """The endpoints that the policy knows, and the discovery watch that updates them."""
 
     def __init__(
         self,
@@ -39,19 +39,19 @@
         telemetry: Telemetry,
         dispatch_event: Callable[[api.Event], None],
     ) -> None:
-        """Notify the policy through `dispatch_event`."""
+        """Report updates to the policy through `dispatch_event`; `start` applies the configured endpoints."""
         self._zone_indices = config.zone_indices
         self._hardware_type_indices = config.hardware_type_indices
         self._cached_endpoints = config.cached_endpoints.endpoints
-        self._is_pushed = config.policy_settings.discovery_mode is DiscoveryMode.PUSH
+        self._is_push_mode = config.policy_settings.discovery_mode is DiscoveryMode.PUSH
         self._pools = pools
         self._telemetry = telemetry
         self._dispatch_event = dispatch_event
         self._loop = asyncio.get_running_loop()
-        self._known: dict[str, DiscoveredEndpoint] = {}  # as the policy knows them, without removed ones
-        self._pending: dict[str, DiscoveredEndpoint] = {}  # of a long update, not known to the policy yet
+        self._known: dict[str, DiscoveredEndpoint] = {}  # by id; known to the policy, not removed
+        self._pending: dict[str, DiscoveredEndpoint] = {}  # by id; in a long update, not applied yet
         self._next_slice: asyncio.Handle | None = None
-        self._resync: asyncio.TimerHandle | None = None
+        self._resync_timer: asyncio.TimerHandle | None = None
         self._start_times = ServerStartTimes()
         self._is_synced = asyncio.Event()
         self._backoff = ReconnectBackoff(config.seed, config.drain_grace_ns)
@@ -61,69 +61,70 @@
             self.on_update,
             self._on_watch_failed,
             discovery_watch.AGENT_RESPONSE_TIMEOUT_S
-            if self._is_pushed
+            if self._is_push_mode
             else discovery_watch.SHARED_RESPONSE_TIMEOUT_S,
         )
 
     def start(self) -> None:
-        """Apply the endpoints of the configuration, and watch discovery if it pushes updates."""
+        """Apply the endpoints of the configuration, and in push mode open the discovery watch."""
         self._start_times.record(self._cached_endpoints, monotonic_ns())
-        self._merge(EndpointUpdateKind.CACHED, self._cached_endpoints)
-        if self._is_pushed:
+        self._apply_update(EndpointUpdateKind.CACHED, self._cached_endpoints)
+        if self._is_push_mode:
             self.discovery.watch()
         else:
             self._is_synced.set()
 
     async def wait_until_synced(self) -> None:
-        """Wait until an update is applied, the watch has failed, or `FIRST_DATA_TIMEOUT_S` have passed.
+        """Wait until an update is applied, the watch has failed or `FIRST_DATA_TIMEOUT_S` has passed.
 
-        Endpoints in the configuration may be older than what discovery knows. The empty lines that discovery
-        sends while nothing has changed do not end the wait. Polled discovery is not waited for.
+        The endpoints of the configuration may be older than the list of discovery. The empty lines that
+        discovery sends while nothing changes do not end the wait. In poll mode this returns at once.
         """
         with suppress(TimeoutError):
             await asyncio.wait_for(self._is_synced.wait(), discovery_watch.FIRST_DATA_TIMEOUT_S)
 
-    # The watch.
+    # Callbacks of the discovery client.
 
     def on_update(self, update: DiscoveryUpdate) -> None:
-        """Apply an update from discovery."""
+        """Apply an update from discovery, at once or in slices."""
         self._backoff.reset()
         self._start_times.record(update.endpoints, monotonic_ns())
         self._start_times.end_initial_list()
         kind = EndpointUpdateKind.SNAPSHOT if update.is_snapshot else EndpointUpdateKind.DELTA
-        self._merge(kind, update.endpoints)
+        self._apply_update(kind, update.endpoints)
         if not self._pending:
             self._is_synced.set()
 
     def _on_watch_failed(self) -> None:
         self._is_synced.set()
         self._telemetry.count(Event.WATCH_FAILED)
-        if self._is_pushed:
+        if self._is_push_mode:
             self._loop.call_later(self._backoff.next_delay_seconds(), self.discovery.watch)
             return
         if self._pending:
-            # After the failure the policy would take an update as a sign that the watch is open.
-            self._apply(EndpointUpdateKind.DELTA, list(self._pending.values()))
+            # All pending endpoints are applied before the failure is reported: the policy would interpret an
+            # update after the failure as a sign that a watch is open.
+            self._apply_entries(EndpointUpdateKind.DELTA, list(self._pending.values()))
             self._pending.clear()
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.FAILED, ()))
 
-    # Updates.
+    # Methods that apply updates.
 
     def resync_later(self) -> None:
-        """Send the policy the whole list after `RESYNC_DELAY_S`, as it has failed on an update."""
-        if self._resync is None:
-            self._resync = self._loop.call_later(RESYNC_DELAY_S, self._resync_policy)
+        """Send the complete list to the policy after `RESYNC_DELAY_S`, because it failed on an update."""
+        if self._resync_timer is None:
+            self._resync_timer = self._loop.call_later(RESYNC_DELAY_S, self._resync_policy)
 
     def _resync_policy(self) -> None:
-        self._resync = None
+        self._resync_timer = None
         endpoints = tuple(self._to_policy_endpoint(endpoint) for endpoint in self._known.values())
-        # Not as a snapshot, which says that discovery has just been heard.
+        # The list is not sent as a snapshot, which states that discovery has just sent an update.
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
 
-    def _merge(self, kind: EndpointUpdateKind, endpoints: tuple[DiscoveredEndpoint, ...]) -> None:
-        """Apply an update, which takes precedence over what is pending of earlier ones.
+    def _apply_update(self, kind: EndpointUpdateKind, endpoints: tuple[DiscoveredEndpoint, ...]) -> None:
+        """Apply an update, which takes precedence over the pending entries of earlier updates.
 
-        Of two entries with one id the later counts.
+        If an update has several entries with one id, the last of them is applied.
         """
         latest = {endpoint.id: endpoint for endpoint in endpoints}
         absent: list[DiscoveredEndpoint] = []
@@ -133,58 +134,59 @@
         elif self._pending:
             for name in latest:
                 self._pending.pop(name, None)
-        # The cached list is applied before there are requests.
+        # The cached list needs no slices, because it is applied before requests are accepted.
         if len(latest) <= SLICE_ENDPOINT_COUNT or kind is EndpointUpdateKind.CACHED:
-            self._apply(kind, list(latest.values()), absent)
+            self._apply_entries(kind, list(latest.values()), absent)
         else:
-            self._merge_in_slices(latest, absent)
+            self._apply_update_in_slices(latest, absent)
 
     def _removed_except(self, listed: Collection[str]) -> list[DiscoveredEndpoint]:
-        """Return the known endpoints that are not listed, marked as removed."""
+        """Return the known endpoints that are not in `listed` (ids), with the state REMOVED."""
         return [
             endpoint._replace(state=EndpointState.REMOVED)
             for endpoint in self._known.values()
             if endpoint.id not in listed
         ]
 
-    def _merge_in_slices(
+    def _apply_update_in_slices(
         self, latest: dict[str, DiscoveredEndpoint], absent: list[DiscoveredEndpoint]
     ) -> None:
         """Apply the changes of a long update.
 
-        Endpoints that drain or are removed are applied at once, as their drain grace runs; the others
-        in slices.
+        Draining and removed endpoints are applied at once, because their drain grace is running; the others
+        are applied in slices.
         """
         changed = [endpoint for endpoint in latest.values() if self._known.get(endpoint.id) != endpoint]
-        # Known endpoints first: they are in use, and one that was restarted is in slow start.
+        # Known endpoints are applied first: they are in use, and a restarted one is in slow start.
         changed.sort(key=lambda endpoint: endpoint.id not in self._known)
         leaving = [endpoint for endpoint in changed if endpoint.state is not EndpointState.READY]
         self._pending.update(
             (endpoint.id, endpoint) for endpoint in changed if endpoint.state is EndpointState.READY
         )
-        self._apply(EndpointUpdateKind.DELTA, absent + leaving)
+        self._apply_entries(EndpointUpdateKind.DELTA, absent + leaving)
         if self._pending and self._next_slice is None:
             self._next_slice = self._loop.call_soon(self._apply_next_slice)
 
     def _apply_next_slice(self) -> None:
         names = list(islice(self._pending, SLICE_ENDPOINT_COUNT))
-        if names:  # a later update may have replaced all that was pending
-            self._apply(EndpointUpdateKind.DELTA, [self._pending.pop(name) for name in names])
+        if names:  # empty if a later update has replaced all pending entries
+            self._apply_entries(EndpointUpdateKind.DELTA, [self._pending.pop(name) for name in names])
         if self._pending:
             self._next_slice = self._loop.call_soon(self._apply_next_slice)
         else:
             self._next_slice = None
             self._is_synced.set()
 
-    def _apply(
+    def _apply_entries(
         self,
         kind: EndpointUpdateKind,
         discovered: list[DiscoveredEndpoint],
         absent: list[DiscoveredEndpoint] | None = None,
     ) -> None:
-        """Notify the policy of endpoints, and keep the known list and the pools in step.
+        """Notify the policy of endpoints, and update the known list and the pools accordingly.
 
-        `absent` are known endpoints that a snapshot leaves out. The policy finds them itself in the snapshot.
+        `absent` are known endpoints that a snapshot does not list. They are not part of the event, because
+        the policy compares the snapshot with its own list.
         """
         endpoints = tuple(self._to_policy_endpoint(endpoint) for endpoint in discovered)
         retired_ids = [hash_name(endpoint.id) for endpoint in absent or ()]
@@ -201,15 +203,18 @@
                 )
             else:
                 retired_ids.append(endpoint_of_policy.id)
-        # Ahead of the retirement, which ends attempts: the policy may retry these at once.
+        # The event precedes the retirement of pools, which ends attempts that the policy may retry at once.
         self._dispatch_event(api.EndpointUpdate(kind, endpoints))
         for endpoint_id in retired_ids:
             self._pools.retire_endpoint(endpoint_id)
-        if not self._pending:  # else known servers seem to be removed
+        if not self._pending:  # new servers that are pending are not in `_known` yet
             self._start_times.forget_removed(self._known)
 
     def _to_policy_endpoint(self, endpoint: DiscoveredEndpoint) -> api.Endpoint:
-        """Translate an entry; names of zones and hardware types that are not configured share one index."""
+        """Return an entry in the form of the policy: with a hashed id, and indices in place of names.
+
+        All names of zones that are not configured share one index, as do those of hardware types.
+        """
         zones, hardware_types = self._zone_indices, self._hardware_type_indices
         return api.Endpoint(
             hash_name(endpoint.id),
--- a/moleport/node/error_codes.py
+++ b/moleport/node/error_codes.py
@@ -1,4 +1,4 @@
-"""Classify errors of system calls by the party at fault.
+"""Classifies errors of system calls by the party at fault.
 
 The error numbers are those that Linux documents for socket(2), bind(2), connect(2), accept(2), recv(2) and
 send(2).
@@ -11,11 +11,11 @@
 
 
 class Fault(Enum):
-    """The party at fault for an error, which determines how to handle it."""
+    """The party at fault for an error, which determines how the error is handled."""
 
-    DESCRIPTORS = "descriptors"  # no free descriptor: close an idle connection and retry the same peer
-    MACHINE = "machine"  # a transient fault of this machine: retry the same peer, without blaming it
-    PATH = "path"  # no route: a fault of the peer, unless no other peer can be reached either
+    DESCRIPTORS = "descriptors"  # no descriptor is free: close an idle connection and retry the same peer
+    MACHINE = "machine"  # a transient fault of this machine: retry the same peer, which is not at fault
+    PATH = "path"  # no route to the peer: a fault of the peer, unless other peers are unreachable too
     PEER = "peer"  # a fault of the peer: use another one
 
 
@@ -26,9 +26,9 @@
     errno.ENOMEM: Fault.MACHINE,
     errno.EADDRNOTAVAIL: Fault.MACHINE,  # no local port is free
     errno.EADDRINUSE: Fault.MACHINE,
-    errno.EAGAIN: Fault.MACHINE,  # from connect: no entry in the routing cache, or no local port
+    errno.EAGAIN: Fault.MACHINE,  # from connect(2): no entry in the routing cache, or no local port is free
     errno.EINTR: Fault.MACHINE,
-    errno.EPERM: Fault.MACHINE,  # a local packet filter
+    errno.EPERM: Fault.MACHINE,  # rejected by a local packet filter
     errno.EACCES: Fault.MACHINE,
     errno.ENETDOWN: Fault.MACHINE,
     errno.ENETUNREACH: Fault.PATH,
@@ -45,7 +45,7 @@
 
 
 def fault_of(error: BaseException | None) -> Fault:
-    """Return the party at fault: the peer for no error, and for one with no or an unknown number."""
+    """Return the party at fault, which is the peer without an error or for an unknown error number."""
     number = error.errno if isinstance(error, OSError) else None
     if number is None:
         return Fault.PEER
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -1,8 +1,9 @@
-"""The platform's rules, and their check at each request that is written to a server.
+"""Invariants of the platform, and the check of those that concern the write of a request to a server.
 
-The rules: one response to a client, no repeated execution, nothing to a server that drains or is removed,
-nothing for a client that has disconnected. The checks are independent of the code that enforces the rules. A
-violation changes nothing; it is counted and logged.
+A client gets one response. A request that must not be repeated is not executed twice. No request is sent to a
+server that is draining or removed, or for a client that has disconnected. The checks are independent of the
+code that enforces these rules. A violation is counted and logged, and does not change how the request is
+handled.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from moleport.policy.interface import Idempotency
 from moleport.units import NS_PER_MS
 
-MAX_DISCONNECT_LATENCY_NS = 100 * NS_PER_MS  # after a client's disconnection an attempt may still begin
-DEADLINE_TOLERANCE_NS = 150 * NS_PER_MS
+MAX_DISCONNECT_LATENCY_NS = 100 * NS_PER_MS  # time after a disconnect in which an attempt may still begin
+DEADLINE_TOLERANCE_NS = 150 * NS_PER_MS  # by which a stated timeout may exceed the time left to the client
 
 
 class Invariant(StrEnum):
-    """A rule for requests and attempts; the value names it in logs and counters."""
+    """A rule for requests and attempts; its value is its name in logs and counters."""
 
     NOT_ANSWERED = "not_answered"
     ATTEMPT_LIMIT = "attempt_limit"
@@ -28,30 +29,30 @@
     CLIENT_CONNECTED = "client_connected"
     ENDPOINT_AVAILABLE = "endpoint_available"
     DEADLINE_NOT_EXTENDED = "deadline_not_extended"
-    RESULT_MATCHES_WRITE = "result_matches_write"  # no written request ends as not executed
-    ENDED_IN_TIME = "ended_in_time"  # by consistency_check.py, like the next one
+    RESULT_MATCHES_WRITE = "result_matches_write"  # no attempt ends as not executed once it is written
+    ENDED_IN_TIME = "ended_in_time"  # checked by consistency_check.py, as is ATTEMPTS_AGREE
     ATTEMPTS_AGREE = "attempts_agree"
 
 
 class RequestWrite(NamedTuple):
-    """The state of one attempt as the last byte of its request is written. Durations are in ns."""
+    """The state of a request and one of its attempts when the attempt is written. Durations are in ns."""
 
     idempotency: Idempotency
-    deduplication_window_ns: int  # in which servers drop a repeated idempotency key
-    attempt_index: int  # from 0
+    deduplication_window_ns: int  # time for which servers drop a repeated idempotency key
+    attempt_index: int  # position among the attempts of the request, from 0
     max_attempts: int
-    other_attempt_count: int  # attempts of the same request in flight
-    is_answered: bool  # the client has its response
-    since_execution_ns: int | None  # since the first attempt that may have been executed; None: there is none
-    since_client_disconnect_ns: int | None  # since the node detected it; None: still connected
-    since_endpoint_removal_ns: int | None  # since the node was notified that it drains or is removed
+    other_attempt_count: int  # other attempts of the same request that are in flight
+    is_answered: bool  # whether the final response has been sent to the client
+    since_execution_ns: int | None  # since the first attempt that may have been executed; None if none may
+    since_client_disconnect_ns: int | None  # since the node detected it; None if still connected
+    since_endpoint_removal_ns: int | None  # since the node learned of its drain or removal; None if available
     drain_grace_ns: int
-    timeout_ns: int  # the time left that the request states to the server
-    remaining_ns: int  # until the client's deadline
+    timeout_ns: int  # remaining time that the request states to the server
+    remaining_ns: int  # time until the client's deadline
 
 
 def violated_invariants(write: RequestWrite) -> Iterator[Invariant]:
-    """Yield each invariant that a write violates."""
+    """Yield each invariant that the write of an attempt violates."""
     if write.is_answered:
         yield Invariant.NOT_ANSWERED
     if write.attempt_index >= write.max_attempts:
@@ -72,7 +73,10 @@
 
 
 def _may_repeat(write: RequestWrite, since_execution_ns: int) -> bool:
-    """Return whether a request that may have been executed may be written again."""
+    """Return whether a request that may have been executed may be written again.
+
+    `since_execution_ns` is the time since the first attempt that may have been executed, in ns.
+    """
     if write.idempotency is Idempotency.NOT_IDEMPOTENT:
         return False
     if write.idempotency is Idempotency.IDEMPOTENCY_KEY:
--- a/moleport/node/json_stream.py
+++ b/moleport/node/json_stream.py
@@ -1,15 +1,16 @@
 """Splits a byte stream into JSON objects as it arrives.
 
-Only braces and strings are scanned; the objects themselves are decoded by the caller. Objects may be
-indented, span any number of lines, and be cut anywhere between two reads.
+The splitter scans only for braces and strings; the caller decodes the objects. An object may be indented, may
+span any number of lines, and may be divided at any byte between two reads.
 """
 
 from __future__ import annotations
 
 import re
 
-# Everything up to the next brace outside of a string, and that brace. The group is empty where the data ends,
-# or where a string is not closed yet. The quantifiers are possessive, so that nothing is scanned twice.
+# Matches the bytes up to and including the next brace outside of a string. The group contains the brace, or
+# is empty at the end of the data and before a string that is not closed yet. The quantifiers are possessive,
+# so that no byte is scanned twice.
 NEXT_BRACE = re.compile(rb'(?:[^"{}]++|"[^"\\]*+(?:\\.[^"\\]*+)*+")*+([{}]?)', re.DOTALL)
 
 
@@ -17,16 +18,16 @@
     """Collects bytes and returns each object once its last brace has arrived."""
 
     def __init__(self) -> None:
-        """Start between two objects."""
+        """Create a splitter for the beginning of a stream."""
         self._buffer = b""
-        self._scanned_bytes = 0  # at the start of the buffer: nothing in them has to be looked at again
-        self._depth = 0  # braces that are open at the end of the scanned part
+        self._scanned_bytes = 0  # length of the start of the buffer that is already scanned
+        self._depth = 0  # number of open braces at the end of the scanned part
 
     def feed(self, data: bytes) -> list[bytes]:
         """Add data and return the objects that it completes, in order.
 
-        Text between two objects that cannot begin an object is returned like an object, for the decoder
-        to reject.
+        Text between two objects, other than white space, is invalid. It is returned like an object, so that
+        the decoder rejects it.
         """
         self._buffer += data
         objects = []
@@ -55,9 +56,9 @@
         return objects
 
     def is_between_objects(self) -> bool:
-        """Whether no object has begun that is not complete."""
+        """Return whether each object that has begun is complete."""
         return self._depth == 0
 
     def buffered_bytes(self) -> int:
-        """Return the size of the object that is not complete yet, in bytes."""
+        """Return the number of bytes received of an incomplete object."""
         return len(self._buffer)
--- a/moleport/node/load_report.py
+++ b/moleport/node/load_report.py
@@ -1,4 +1,4 @@
-"""Parses the load report that a server may attach to a response."""
+"""Parses the load report that a server may add to a response in the X-Load header."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 
 class LoadReportError(ValueError):
-    """A load report that cannot be used; the text says why."""
+    """A load report is too long or contains an invalid value; the message states which."""
 
 
 class LoadReportParser:
-    """Parses `name=value, name=value` headers into the order that the settings give."""
+    """Parses `name=value, name=value` headers into values in the order of the configured field names."""
 
     def __init__(self, field_names: tuple[bytes, ...]) -> None:
-        """Expect all of `field_names` in each report."""
+        """Prepare to parse reports that contain all of `field_names`; other fields are ignored."""
         self._field_names = field_names
         self._has_warned = False
 
     def parse(self, header: bytes) -> tuple[float, ...]:
-        """Return the values in the order of the field names, or an empty tuple for an unusable report.
+        """Return the values in the order of the field names, or an empty tuple if the report is invalid.
 
-        The first unusable report is logged, later ones are ignored silently.
+        Only the first invalid report is logged.
         """
         try:
             if len(header) > MAX_REPORT_BYTES:
-                raise LoadReportError(f"it is longer than {MAX_REPORT_BYTES} bytes")
+                raise LoadReportError(f"load report of {len(header)} bytes exceeds {MAX_REPORT_BYTES} bytes")
             fields = dict(part.strip().split(b"=", 1) for part in header.split(b","))
             values = tuple(float(fields[name]) for name in self._field_names)
-            # Rejects NaN as well, as each comparison with it is false.
+            # NaN is rejected too, because each comparison with it is false.
             if not all(0.0 <= value < inf for value in values):
-                raise LoadReportError("a value is negative or not finite")
+                raise LoadReportError(f"a value in {values} is negative or not finite")
             return values
         except (ValueError, KeyError) as error:
             self._warn_once(header, error)
@@ -44,4 +44,6 @@
         if self._has_warned:
             return
         self._has_warned = True
-        log.warning("unusable load report %r, expected %r: %r", header, self._field_names, error)
+        log.warning(
+            "ignored invalid load report %r (required fields: %r): %r", header, self._field_names, error
+        )
--- a/moleport/node/response_parser.py
+++ b/moleport/node/response_parser.py
@@ -1,4 +1,4 @@
-"""Parse the HTTP responses of one connection to a server, within limits on their size."""
+"""Parses the HTTP responses that arrive on one connection to a server, within limits on their size."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 from moleport.node.http_limits import HEADER_LINE_BYTES, HOP_BY_HOP_HEADERS, MAX_BODY_BYTES, MAX_HEAD_BYTES
 
-MAX_INTERIM_COUNT = 16  # 1xx responses ahead of the final one
-MIN_FINAL_STATUS = HTTPStatus.OK.value
+MAX_INTERIM_COUNT = 16  # interim (1xx) responses before the final response
+MIN_FINAL_STATUS = HTTPStatus.OK.value  # lower statuses are those of interim responses
 STATUSES_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 
 
 class InvalidResponseError(Exception):
-    """A server sent data that is not an HTTP response, that exceeds a limit or that was not requested."""
+    """The data from a server is not an HTTP response, exceeds a limit or belongs to no request."""
 
 
 class ServerResponse(NamedTuple):
     """A complete response of a server."""
 
     status: int
-    headers: list[tuple[bytes, bytes]]  # end-to-end headers in their original order and case
+    headers: list[tuple[bytes, bytes]]  # names and values of end-to-end headers, in original order and case
     body: bytes
-    load_report: bytes  # empty if there is none
+    load_report: bytes  # value of the X-Load header; empty if there is none
 
 
 class ResponseParser:
     """Collects one response at a time from the callbacks of an HTTP parser.
 
-    Call `reset` ahead of each request and `feed` with what the server sends until `is_complete` is set. Call
-    `close` at the end, because the HTTP parser and this object refer to each other.
+    Call `reset` before each request, and `feed` with the data from the server until `is_complete` is set.
+    Call `close` after the last response, to break the reference cycle with the HTTP parser.
     """
 
     __slots__ = (
@@ -44,7 +44,7 @@
         "_interim_count",
         "_is_framed",
         "_load_report",
-        "_size",
+        "_received_bytes",
         "is_complete",
         "is_not_executed",
         "is_reusable",
@@ -52,40 +52,42 @@
     )
 
     def __init__(self) -> None:
+        """Prepare for the first response."""
         self._http_parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._interim_count = 0
-        self.is_reusable = False  # the connection may carry another request
+        self.is_reusable = False  # whether the connection may carry another request
         self.reset()
 
     def reset(self) -> None:
-        """Forget the previous response."""
+        """Prepare for the response to the next request."""
         self.is_reusable = False
         self._interim_count = 0
-        self._start_message()
+        self._reset_message()
 
-    def _start_message(self) -> None:
-        """Forget the previous message, which may be an interim response ahead of the final one."""
+    def _reset_message(self) -> None:
+        """Discard the previous message: an earlier response, or an interim response before the final one."""
         self.status = 0
-        self._size = 0  # bytes of the head or the body so far
-        self._header_bytes = 0  # of the status line, the headers and the trailers
+        self._received_bytes = 0  # size of the head so far, or of the body after `on_headers_complete`
+        self._header_bytes = 0  # size of the reason phrase, the headers and the trailers so far
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._load_report = b""
-        self.is_not_executed = False  # the server states that it did not execute the request
-        self._is_framed = False  # by a length or by chunks
-        self._ends_with_connection = False
+        self.is_not_executed = False  # whether the server states that it did not execute the request
+        self._is_framed = False  # whether the length of the body is given by Content-Length or by chunks
+        self._ends_with_connection = False  # whether the body ends where the connection ends
         self._in_head = True
         self.is_complete = False
 
     def close(self) -> None:
-        """Release the HTTP parser; nothing may be fed after that."""
+        """Release the HTTP parser; `feed` may not be called after that."""
         self._http_parser = None
 
     def feed(self, data: bytes) -> None:
-        """Parse data from the server; `is_complete` tells whether the response has ended.
+        """Parse data from the server; `is_complete` is set once the response is complete.
 
-        Raises InvalidResponseError if the data is invalid and the response is not complete. Invalid data
-        behind a complete response makes the connection unusable for another request.
+        Raises InvalidResponseError if the data is invalid and the response is not complete, or if the head
+        exceeds MAX_HEAD_BYTES. Invalid data after a complete response makes the connection unusable for
+        another request.
         """
         assert self._http_parser is not None
         try:
@@ -95,15 +97,17 @@
             if not self.is_complete:
                 raise InvalidResponseError(f"invalid response: {error.__context__ or error}") from error
         if self._in_head:
-            self._size += len(data)
-            if self._size > MAX_HEAD_BYTES:
-                raise InvalidResponseError(f"response head of {self._size} bytes exceeds {MAX_HEAD_BYTES}")
+            self._received_bytes += len(data)
+            if self._received_bytes > MAX_HEAD_BYTES:
+                raise InvalidResponseError(
+                    f"response head of {self._received_bytes} bytes exceeds {MAX_HEAD_BYTES}"
+                )
 
     def may_end_with_connection(self) -> bool:
         """Return whether the end of the connection completes the response.
 
-        That is so if it has neither a length nor chunks. A 200 without a single byte of its body counts as
-        cut off: the server closed the connection after the head.
+        The end of the connection completes a response that has neither a length nor chunks. A 200 without
+        any byte of a body is treated as truncated: the server closed the connection after the head.
         """
         if not self._ends_with_connection or self._in_head:
             return False
@@ -113,47 +117,47 @@
         """Return the complete response."""
         return ServerResponse(self.status, self._headers, b"".join(self._body), self._load_report)
 
-    # Callbacks of the HTTP parser. It wraps exceptions that they raise in an HttpParserCallbackError.
+    # Callbacks of the HTTP parser, which wraps the exceptions that they raise in an HttpParserCallbackError.
 
     def on_message_begin(self) -> None:
-        """Forget an interim response ahead of this one, and reject a second final one."""
+        """Discard an interim response before this message, and reject a second final response."""
         if self.is_complete:
             raise InvalidResponseError("more than one response to one request")
         if self._interim_count:
-            self._start_message()
+            self._reset_message()
 
     def on_status(self, reason: bytes) -> None:
-        """Count the reason phrase."""
+        """Add the reason phrase to the size of the head, and check the limit."""
         self._header_bytes += len(reason)
         self._check_head_size()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep an end-to-end header, and interpret those that frame the body or are meant for this node.
+        """Store an end-to-end header, or interpret a header that frames the body or is meant for this node.
 
-        A trailer is counted and dropped.
+        A trailer adds to the size of the head and is discarded.
         """
-        # `feed` counts neither a head that arrives in one piece nor the trailers.
+        # The check in `feed` covers neither a head that arrives in one piece nor the trailers.
         self._header_bytes += len(name) + len(value) + HEADER_LINE_BYTES
         if self._header_bytes > MAX_HEAD_BYTES:
             self._check_head_size()
         if not self._in_head:
             return
-        lower = name.lower()
-        if lower == b"x-load":
+        lower_name = name.lower()
+        if lower_name == b"x-load":
             self._load_report = value
-        elif lower == b"x-not-run":
+        elif lower_name == b"x-not-run":
             self.is_not_executed = value.strip() == b"1"
-        elif lower == b"content-length":
-            # A body that is too long is rejected at its head, before any of it is read.
+        elif lower_name == b"content-length":
+            # A body that is too long is rejected by its length, before any of it is read.
             if int(value) > MAX_BODY_BYTES:
                 raise InvalidResponseError(f"response body of {int(value)} bytes exceeds {MAX_BODY_BYTES}")
             self._is_framed = True
-        elif lower == b"transfer-encoding":
+        elif lower_name == b"transfer-encoding":
             coding = value.strip().lower()
             if coding not in (b"chunked", b"identity"):
                 raise InvalidResponseError(f"unsupported transfer coding {coding!r}")
             self._is_framed = coding == b"chunked"
-        elif lower not in HOP_BY_HOP_HEADERS:
+        elif lower_name not in HOP_BY_HOP_HEADERS:
             self._headers.append((name, value))
 
     def _check_head_size(self) -> None:
@@ -163,7 +167,7 @@
             )
 
     def on_headers_complete(self) -> None:
-        """Take the status, and determine how the body ends."""
+        """Store the status, and determine how the end of the body is marked."""
         assert self._http_parser is not None
         self.status = self._http_parser.get_status_code()
         if self.status < MIN_FINAL_STATUS:
@@ -173,17 +177,19 @@
         else:
             self._ends_with_connection = not self._is_framed and self.status not in STATUSES_WITHOUT_BODY
         self._in_head = False
-        self._size = 0
+        self._received_bytes = 0
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
-        self._size += len(data)
-        if self._size > MAX_BODY_BYTES:
-            raise InvalidResponseError(f"response body of {self._size} bytes exceeds {MAX_BODY_BYTES}")
+        """Store a part of the body."""
+        self._received_bytes += len(data)
+        if self._received_bytes > MAX_BODY_BYTES:
+            raise InvalidResponseError(
+                f"response body of {self._received_bytes} bytes exceeds {MAX_BODY_BYTES}"
+            )
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Complete the response, unless it is an interim one."""
+        """Mark the response as complete, unless it is an interim response."""
         if self.status < MIN_FINAL_STATUS:
             return
         assert self._http_parser is not None
--- a/moleport/node/server_connection.py
+++ b/moleport/node/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: write a request, receive its response, and tell the attempt its result."""
+"""One connection to a server, which writes a request, receives the response and ends the attempt."""
 
 from __future__ import annotations
 
@@ -17,62 +17,67 @@
     from moleport.node.attempt import Attempt
     from moleport.node.connection_pool import ConnectionPool
 
-STATUSES_OF_REJECTION = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
-STATUSES_OF_OVERLOAD = (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS)  # 4xx, but a server's fault
+REJECTION_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+# These 4xx statuses indicate an overloaded server, not a fault of the request.
+OVERLOAD_STATUSES = (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS)
 
 
 class ServerConnection(asyncio.Protocol):
     """A connection to a server that carries one request at a time.
 
-    After a response it returns to its pool, unless the server or an error ends it.
+    After a response it returns to its pool, unless the server or an error closes it.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
-        """Belong to `pool`; a transport follows by `connection_made`."""
+        """Create a connection of `pool`; the event loop then calls `connection_made` with its transport."""
         self._pool = pool
         self._transport: asyncio.Transport | None = None
-        self._poll = select.poll()
-        self._parser: ResponseParser | None = None  # while the connection is open
-        self._attempt: Attempt | None = None  # while a request is in flight
-        self.written = False  # the last byte of the request is with the kernel
+        self._poller = select.poll()
+        self._parser: ResponseParser | None = None  # None unless the connection is open
+        self._attempt: Attempt | None = None  # None unless a request is in flight
+        self.written = False  # whether the kernel has accepted the last byte of the request
         self.closed = False
-        self.idle_since_ns = 0  # monotonic; 0: it has never been idle
+        self.idle_since_ns = 0  # monotonic ns; 0: it has never been idle
 
-    # Calls of the event loop.
+    # Methods that the event loop calls.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set up the socket and the parser of a new connection."""
-        self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        # The cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
+        self._transport = transport = cast(asyncio.Transport, transport)
         self._pool.pools.sockets += 1
         self._parser = ResponseParser()
-        own_socket = transport.get_extra_info("socket")
-        self._poll.register(own_socket.fileno(), select.POLLIN)
-        with suppress(OSError):  # the connection may be broken already
-            own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # With a limit of 0, `resume_writing` is called once the last byte is with the kernel.
+        tcp_socket = transport.get_extra_info("socket")
+        self._poller.register(tcp_socket.fileno(), select.POLLIN)
+        with suppress(OSError):  # raised if the connection is already broken
+            tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        # With a limit of 0, `resume_writing` is called once the kernel has accepted the last byte.
         transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
-        """Note that the kernel has taken the rest of the request."""
+        """Record that the kernel has accepted the rest of the request."""
         self.written = self._attempt is not None
 
     def data_received(self, data: bytes) -> None:
         """Parse data from the server, and end the attempt with a complete or invalid response."""
         parser = self._parser
-        if self._attempt is None or parser is None:  # the data belongs to no request
+        if self._attempt is None or parser is None:  # data without a request in flight
             self.close()
             return
         try:
             parser.feed(data)
         except InvalidResponseError:
-            # RESET would say that the connection was lost, and that other connections may be too.
-            self._fail(AttemptResult.ERROR)
+            # The result is not RESET, which states that this connection was lost and that others may be too.
+            self._fail_attempt(AttemptResult.ERROR)
             return
         if parser.is_complete:
             self._finish_attempt(parser)
 
     def eof_received(self) -> bool:
-        """Complete a response that ends with its connection; return False to let the loop close it."""
+        """Complete a response whose end is marked by the end of the connection.
+
+        Returns False, so that the event loop closes the connection.
+        """
         parser = self._parser
         if parser is None or not self.written:
             return False
@@ -82,37 +87,38 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the pool, and end the attempt that waits for a response."""
+        """Leave the pool, and end the attempt that is waiting for a response."""
         self.closed = True
         self._pool.on_disconnected(self)
         if fault_of(exc) in LOCAL_FAULTS:
-            # The server is not at fault. A written request may have been executed.
-            self._fail(AttemptResult.CANCELLED, if_unwritten=AttemptResult.NOT_SENT)
+            # The server is not at fault. A written request may have been executed, so it ends as CANCELLED.
+            self._fail_attempt(AttemptResult.CANCELLED, if_unwritten=AttemptResult.NOT_SENT)
         else:
-            self._fail(AttemptResult.RESET)
+            self._fail_attempt(AttemptResult.RESET)
         if self._parser is not None:
             self._parser.close()
             self._parser = None
 
-    # Calls of the attempt and the pool.
+    # Methods that the attempt and the pool call.
 
     def on_connect_cancelled(self) -> None:
-        """Account for a connection that the loop closes without `connection_lost`.
+        """Call `connection_lost` for a connection that the event loop closes without calling it.
 
-        The loop does so where connecting is cancelled just after `connection_made`.
+        This happens if connecting is cancelled just after `connection_made`.
         """
         if self._transport is not None and not self.closed:
             self.connection_lost(None)
 
-    def is_quiet(self) -> bool:
-        """Return whether nothing is readable: neither the end of the connection nor unrequested data.
+    def has_no_unread_data(self) -> bool:
+        """Return whether the socket has neither unread data nor an unread end of the connection.
 
-        A duplicate response that is still with the kernel would be taken for that to the next request.
+        A duplicate response in the kernel's receive buffer would be taken for the response to the next
+        request.
         """
-        return not self._poll.poll(0)
+        return not self._poller.poll(0)
 
     def send(self, attempt: Attempt, data: bytes) -> None:
-        """Write the request of an attempt, which is told the result."""
+        """Write the request of an attempt; `Attempt.end` is called with the result."""
         transport, parser = self._transport, self._parser
         assert transport is not None
         assert parser is not None
@@ -123,13 +129,13 @@
         self.written = not transport.is_closing() and not transport.get_write_buffer_size()
 
     def release(self, attempt: Attempt) -> None:
-        """Return to the pool as the attempt has ended, or close if the response is not complete."""
+        """Detach the ended attempt; return to the pool, or close if the connection is not reusable."""
         if self._attempt is not attempt:
             return
         self._attempt = None
         parser = self._parser
         if parser is not None and parser.is_reusable and self.written and not self.closed:
-            self._pool.put(self)
+            self._pool.return_used(self)
         else:
             self.close()
 
@@ -139,13 +145,16 @@
             self._transport.abort()
 
     def _is_reset(self) -> bool:
-        """Return whether the kernel has a reset behind the end of the data."""
-        return any(events & (select.POLLERR | select.POLLHUP) for _, events in self._poll.poll(0))
+        """Return whether the kernel has received a reset after the last data."""
+        return any(events & (select.POLLERR | select.POLLHUP) for _, events in self._poller.poll(0))
 
-    def _fail(
+    def _fail_attempt(
         self, result: AttemptResult, if_unwritten: AttemptResult = AttemptResult.CONNECT_FAILED
     ) -> None:
-        """Close the connection, and end its attempt, if any, without a response."""
+        """End the attempt in flight, if any, without a response, and close the connection.
+
+        The attempt ends with `result` if its request is completely written, else with `if_unwritten`.
+        """
         attempt = self._attempt
         if self._parser is not None:
             self._parser.is_reusable = False
@@ -154,19 +163,19 @@
         self.close()
 
     def _finish_attempt(self, parser: ResponseParser) -> None:
-        """End the attempt with its complete response."""
+        """End the attempt in flight, if any, with its complete response."""
         attempt = self._attempt
         if attempt is not None:
-            attempt.end(_result_of(parser), parser.response())
+            attempt.end(_classify_response(parser), parser.response())
 
 
-def _result_of(parser: ResponseParser) -> AttemptResult:
-    """Classify a complete response by its status."""
+def _classify_response(parser: ResponseParser) -> AttemptResult:
+    """Return the result that the status of a complete response, and its X-Not-Run header, stand for."""
     status = parser.status
     if status == 200:
         return AttemptResult.OK
-    if status in STATUSES_OF_REJECTION and parser.is_not_executed:
+    if status in REJECTION_STATUSES and parser.is_not_executed:
         return AttemptResult.REJECTED
-    if 400 <= status < 500 and status not in STATUSES_OF_OVERLOAD:
+    if 400 <= status < 500 and status not in OVERLOAD_STATUSES:
         return AttemptResult.CLIENT_ERROR
     return AttemptResult.ERROR
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -1,18 +1,18 @@
 """Start times of servers on the node's monotonic clock.
 
-The endpoint list gives each start as a Unix time, read from a wall clock that may be wrong or may be stepped
-while the node runs. Start times are therefore translated as follows:
-
-- In the initial list (the configuration's, and the first update), which names starts that the node did not
-  observe, the newest start is taken to be now, and the others as much older as their Unix times are. The
-  node's own wall clock is not used. The error: servers count as younger than they are, by at most the age of
-  the newest, and for at most one slow start duration. A server whose own clock was slow as it started counts
-  as older by that amount.
-- A start that is reported later, of a new server or with a changed Unix time, is now. The error: it counts as
-  younger than it is by the delay of the update.
-
-Both errors prefer to take a warm server for one in slow start, which costs capacity, over the reverse, which
-would overload a server in slow start.
+The endpoint list gives each start time as a Unix time. It was read from a wall clock, which may be wrong or
+may be stepped while the node runs. Start times are therefore translated as follows:
+
+- The initial list (the list in the configuration and the first update) contains starts that the node did not
+  observe. The newest of them is assumed to have happened now, and each other start is earlier by the
+  difference of their Unix times. The node's own wall clock is not used. The resulting error: servers appear
+  younger than they are, by at most the age of the newest server, for at most one slow start duration. A
+  server whose clock was slow when it started appears older by that amount.
+- A start that is reported later, for a new server or as a changed Unix time, is assumed to have happened when
+  the update arrives. The resulting error: the server appears younger than it is, by the delay of the update.
+
+An error that makes a server appear younger applies slow start to a warm server, which costs capacity. It is
+preferred to the opposite error, which would overload a server in slow start.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 from moleport.policy.interface import EndpointState
 from moleport.units import NS_PER_MS
 
-FORGET_THRESHOLD_SERVERS = 1024  # removed ones are remembered up to it, as a server may return
+FORGET_THRESHOLD_SERVERS = 1024  # up to it, removed servers are remembered, because a server may return
 
 
 class RecordedStart(NamedTuple):
-    """The latest start of one server."""
+    """The latest start of one server, in the time of the endpoint list and in that of the node."""
 
-    reported_ms: int  # Unix time in the endpoint list
-    started_at_ns: int  # monotonic ns
+    reported_ms: int  # Unix time in the endpoint list, in ms
+    started_at_ns: int  # time on the monotonic clock, in ns
 
 
 class ServerStartTimes:
-    """The latest start of each server that the endpoint list has named."""
+    """The latest start of each server that the endpoint list contains or has contained."""
 
     def __init__(self) -> None:
-        """Begin with the initial list."""
-        self._starts: dict[str, RecordedStart] = {}  # by endpoint id, the latest recorded last
+        """Treat starts as those of the initial list until `end_initial_list` is called."""
+        self._starts: dict[str, RecordedStart] = {}  # by endpoint id; the most recently recorded is last
         self._is_initial_list = True
         self._newest_reported_ms = 0
 
     def record(self, endpoints: Iterable[DiscoveredEndpoint], now_ns: int) -> None:
-        """Record the starts in an update that arrived at `now_ns`, in monotonic ns."""
+        """Record the starts of an update that arrived at `now_ns`, in monotonic ns."""
         started = [
             endpoint
             for endpoint in endpoints
@@ -66,21 +66,22 @@
         return RecordedStart(reported_ms, now_ns - age_ms * NS_PER_MS)
 
     def end_initial_list(self) -> None:
-        """Take each start that is recorded from now on as one that has just happened."""
+        """Treat each start that is recorded after this call as one that has just happened."""
         self._is_initial_list = False
 
     def started_at_ns(self, endpoint: DiscoveredEndpoint) -> int:
-        """Return the recorded start in monotonic ns; 0: long ago."""
+        """Return the recorded start in monotonic ns, or 0 (long ago) if the list does not state it."""
         recorded = self._starts.get(endpoint.id)
         if recorded is None or not endpoint.started_ms:
             return 0
         return recorded.started_at_ns or 1
 
     def forget_removed(self, listed: Collection[str]) -> None:
-        """Forget servers that are not listed, the earliest recorded first, once they are too many.
+        """Forget the starts of removed servers, the earliest recorded first, if there are too many.
 
-        They are too many if all recorded servers are more than twice the listed ones by more than
-        `FORGET_THRESHOLD_SERVERS`. As many as are listed are then kept.
+        `listed` contains the ids of the servers that are not removed. There are too many if the number of
+        recorded servers exceeds twice that of the listed servers by more than `FORGET_THRESHOLD_SERVERS`.
+        As many removed servers as there are listed ones are then kept.
         """
         if len(self._starts) <= 2 * len(listed) + FORGET_THRESHOLD_SERVERS:
             return
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -86,8 +86,8 @@
             peers = [writer.get_extra_info("socket") for writer in writers]
             for peer in peers:
                 os.write(peer.fileno(), answer(body=b"copy"))
-            assert [one.is_quiet() for one in pool.idle] == [False, False]
-            assert pool.take() is None and not pool.idle
+            assert [one.has_no_unread_data() for one in pool.idle] == [False, False]
+            assert pool.acquire() is None and not pool.idle
             assert (await client.ask(request(body=b"three"))).body == b"three"
             assert server.connections == 3
 
--- a/tests/node/test_discovery_reconnect.py
+++ b/tests/node/test_discovery_reconnect.py
@@ -221,7 +221,7 @@
         replaced = discovery.WatchConnection(client)
         current = client._watch = discovery.WatchConnection(client)
         found = entries(range(3 * discovery.SLICE_ENTRY_COUNT))
-        client.on_object(current, update_text(2, found))
+        client.on_json_object(current, update_text(2, found))
         replaced.connection_lost(None)
         assert not reported
         await until(lambda: reported)
--- a/tests/node/test_holds.py
+++ b/tests/node/test_holds.py
@@ -225,7 +225,7 @@
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            monkeypatch.setattr(HoldDetector, "stalled_ns", lambda _: next(stalls_ns, 22 * NS_PER_MS))
+            monkeypatch.setattr(HoldDetector, "total_hold_ns", lambda _: next(stalls_ns, 22 * NS_PER_MS))
             assert status(await (await rig.client()).ask(request())) == 200
             (outcome,) = rig.spy.outcomes()
             assert 0 <= outcome.elapsed_ns < 22 * NS_PER_MS
--- a/tests/node/test_json_stream.py
+++ b/tests/node/test_json_stream.py
@@ -24,7 +24,7 @@
         response_timeout_s = 60.0
         seen: list[Any]
 
-        def on_object(self, _: discovery.WatchConnection, data: bytes) -> None:
+        def on_json_object(self, _: discovery.WatchConnection, data: bytes) -> None:
             self.seen.append(json.loads(data))
 
         def is_current(self, _: discovery.WatchConnection) -> bool:
--- a/tests/node/test_large_lists.py
+++ b/tests/node/test_large_lists.py
@@ -219,7 +219,7 @@
             await until(lambda: old.targets)
             watching = rig.node.endpoint_list.discovery
             assert watching._watch is not None
-            watching.on_object(watching._watch, update_text(9, entries(range(MANY))))
+            watching.on_json_object(watching._watch, update_text(9, entries(range(MANY))))
             assert not rig.node._ready_endpoint_ids  # most of it is not parsed
             rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
             await until(lambda: new.targets)
@@ -263,13 +263,13 @@
                     for client in clients:
                         assert status(await client.ask(request())) == 200
                     idle = {pool for pool in pools._pools.values() if pool.idle}
-                    assert idle and idle <= set(pools.with_idle)
-                    assert len(pools.with_idle) <= 15
+                    assert idle and idle <= set(pools.pools_with_idle_connections)
+                    assert len(pools.pools_with_idle_connections) <= 15
                     open_before, pools._max_sockets = pools.sockets, pools.sockets
                     assert pools.ensure_capacity()  # closes the one that is idle longest
                     await until(lambda before=open_before: pools.sockets < before)  # type: ignore[misc]
                     pools._max_sockets = 400
-                    await until(lambda: not pools.sockets and not pools.with_idle)
+                    await until(lambda: not pools.sockets and not pools.pools_with_idle_connections)
 
     run(test())
 
