--- a/moleport/__init__.py
+++ b/moleport/__init__.py
@@ -1,1 +1,1 @@
-"""moleport: a layer-7 reverse proxy node and the module that makes its decisions."""
+"""A layer-7 reverse proxy node, and the decision module that selects the server for each attempt."""
--- a/moleport/__main__.py
+++ b/moleport/__main__.py
@@ -1,17 +1,17 @@
-"""Start the node's process, and end it when a signal asks for it."""
+"""Entry point of the node's process, which serves until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
 import gc
 import signal
 
-gc.disable()  # Until the node is ready: imports and configuration create next to no garbage.
+gc.disable()  # until the node is ready, as imports and configuration create almost no garbage
 
-early_reloads: list[int] = []
-"""SIGHUPs from before the event loop handles them; by default they would end the process."""
+early_sighups: list[int] = []
+"""SIGHUP signals that arrived before the event loop handled them; by default they would end the process."""
 
 if __name__ == "__main__":
-    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
+    signal.signal(signal.SIGHUP, lambda signal_number, _frame: early_sighups.append(signal_number))
 
 import asyncio
 import logging
@@ -29,36 +29,37 @@
 
 log = logging.getLogger("moleport")
 
-UNUSABLE_CONFIG_EXIT_CODE = 2
+INVALID_CONFIG_EXIT_CODE = 2
+"""Exit code for an invalid configuration, or a listen address that the node cannot use."""
 
 
 async def serve(config: Config) -> int:
-    """Serve until SIGTERM or SIGINT; return the exit code."""
+    """Serve clients until SIGTERM or SIGINT, and shut down; return the exit code."""
     loop = asyncio.get_running_loop()
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     dispatcher, listener = build_node(config)
     reloader = ConfigReloader(dispatcher)
     loop.add_signal_handler(signal.SIGHUP, reloader.on_signal)
     dispatcher.start()
-    if early_reloads:
-        reloader.on_signal()  # the file may have changed since it was read
-    await _wait_for_either(dispatcher.wait_until_endpoints_known(), stop.wait())
-    if stop.is_set():  # nothing is accepted yet that would have to be completed
+    if early_sighups:
+        reloader.on_signal()  # the configuration file may have changed since the process read it
+    await _wait_for_first(dispatcher.wait_until_endpoints_known(), stop_requested.wait())
+    if stop_requested.is_set():  # the node has accepted no clients yet, so there are no requests to complete
         dispatcher.telemetry.report()
         _ignore_reloads(loop)
         return 0
     try:
         address = listener.listen()
     except OSError as error:
-        print(f"moleport: BALANCER_LISTEN can't be used: {error.strerror}", file=sys.stderr)
-        return UNUSABLE_CONFIG_EXIT_CODE
-    # What exists by now stays: the collector need not visit it.
+        print(f"moleport: BALANCER_LISTEN: cannot listen on the address: {error.strerror}", file=sys.stderr)
+        return INVALID_CONFIG_EXIT_CODE
+    # The objects that exist now live as long as the process, so the garbage collector need not visit them.
     gc.freeze()
     gc.enable()
     log.info("serving on %s:%d", *address)
-    await stop.wait()
+    await stop_requested.wait()
     log.info("stopping")
     await shut_down(listener, dispatcher, plan_shutdown(config))
     dispatcher.telemetry.report()
@@ -67,27 +68,27 @@
 
 
 def _ignore_reloads(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore SIGHUP from now on; a closed event loop would leave it to end the process."""
+    """Ignore SIGHUP from now on: without this, a SIGHUP after the event loop closes would end the process."""
     loop.remove_signal_handler(signal.SIGHUP)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-async def _wait_for_either(*waits: Coroutine[Any, Any, object]) -> None:
-    """Wait until one of them is done, and cancel the others."""
-    tasks = [asyncio.ensure_future(wait) for wait in waits]
+async def _wait_for_first(*coroutines: Coroutine[Any, Any, object]) -> None:
+    """Wait until one of the coroutines has finished, and cancel the others."""
+    tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
         task.cancel()
 
 
 def main() -> int:
-    """Run the node's process; return its exit code."""
+    """Read the configuration and run the node; return the process's exit code."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     try:
         config = load(os.environ)
     except ConfigError as error:
         print(f"moleport: {error}", file=sys.stderr)
-        return UNUSABLE_CONFIG_EXIT_CODE
+        return INVALID_CONFIG_EXIT_CODE
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(serve(config))
 
--- a/moleport/adapter/__init__.py
+++ b/moleport/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module behind the simulator's binary protocol, on standard input and output."""
+"""Adapter that connects the decision module to the simulator, by a binary protocol on standard streams."""
--- a/moleport/adapter/__main__.py
+++ b/moleport/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the decision module behind the simulator's protocol, from standard input to standard output."""
+"""Runs the adapter: reads frames from standard input and writes its replies to standard output."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each input frame until the input ends; raises WireError or SettingsError."""
+    """Write a reply to each input frame until the input ends; raises WireError or SettingsError."""
     adapter = Adapter()
     while (frame := read_frame(source)) is not None:
-        sink.write(adapter.answer(frame))
+        sink.write(adapter.reply_to(frame))
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input, and return the process's exit code."""
+    """Serve standard input; return the exit code: 0 at the end of the input, 1 after an invalid frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (WireError, SettingsError) as problem:
-        print(f"moleport: {problem}", file=sys.stderr)
+    except (WireError, SettingsError) as error:
+        print(f"moleport: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -1,14 +1,16 @@
-"""The codec of the simulator's frames: bytes to records and actions to bytes.
+"""Codec of the simulator's frames: decodes records from bytes and encodes actions to bytes.
 
-All numbers are little-endian and unpadded.
+All numbers are little-endian, without padding between them.
 
-Input frame: length (u32, of what follows), clock (u64, ns), record count (u32), records.
-Output frame: length (u32, of what follows), action count (u32), actions.
+An input frame consists of its length (u32, the number of bytes after this field), the clock (u64, ns), the
+record count (u32) and the records. An output frame consists of its length (u32, as before), the action count
+(u32) and the actions.
 
-The instance that a SELECT record names holds for the records after it in the same frame.
+A SELECT record names the instance that the records after it in the same frame are for.
 
-A record is its code (u8), its fixed fields, and for some codes a content whose item count is the last fixed
-field. The layouts are in `_FORMATS` (input) and `_ACTIONS` (output), in the notation of the struct module.
+A record consists of its code (u8) and its fixed fields. For some codes, a content of several items follows,
+whose count is the last fixed field. `_RECORD_FORMATS` (input) and `_ACTION_LAYOUTS` (output) define the
+layouts in the notation of the struct module.
 """
 
 from __future__ import annotations
@@ -36,13 +38,14 @@
 
 
 class WireError(Exception):
-    """A frame that breaks the protocol; the text says how."""
+    """Raised for a frame that violates the protocol; the message describes the violation."""
 
 
 class Batch(NamedTuple):
-    """The content of one input frame."""
+    """The decoded content of one input frame."""
 
     clock_ns: int
+    """Time of the simulator's clock at which the records occurred."""
     records: list[Record]
 
 
@@ -51,21 +54,22 @@
 _LENGTH = struct.Struct("<I")
 _BATCH_HEADER = struct.Struct("<QI")
 _REPLY_HEADER = struct.Struct("<II")
-_ENTRY = struct.Struct("<6sBHHBfQ")
+_LIST_ENTRY = struct.Struct("<6sBHHBfQ")  # the fields of `ListEntry`, in order
 _FLOAT_BYTES = 4
 _ACTION_COUNT_BYTES = 4
-_MAX_TEXT_BYTES = 60_000  # a bound of the adapter, below what the length field takes
-
-_ACTIONS = {
-    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # request, endpoint, timeout in ns
-    ActionCode.BUSY: struct.Struct("<BQQ"),  # request, time to stay away in ns
-    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),  # request
-    ActionCode.WAKE_AT: struct.Struct("<BQI"),  # clock time in ns, timer
-    ActionCode.HANG_UP: struct.Struct("<B6s"),  # endpoint
+_MAX_TEXT_BYTES = 60_000  # chosen by the adapter, below the 65_535 bytes that the length field allows
+
+# Each layout begins with the action code; the comment lists the fields after it.
+_ACTION_LAYOUTS = {
+    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # request id, endpoint id, timeout in ns
+    ActionCode.BUSY: struct.Struct("<BQQ"),  # request id, Retry-After in ns
+    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),  # request id
+    ActionCode.WAKE_AT: struct.Struct("<BQI"),  # clock time in ns, timer id
+    ActionCode.HANG_UP: struct.Struct("<B6s"),  # endpoint id
     ActionCode.LISTEN: struct.Struct("<BB"),  # always 1
-    ActionCode.SOURCE: struct.Struct("<BH"),  # instance
+    ActionCode.SOURCE: struct.Struct("<BH"),  # instance number
 }
-_TEXT = struct.Struct("<BH")  # code, bytes of the text that follows
+_TEXT_HEADER = struct.Struct("<BH")  # action code, length in bytes of the text after this header
 
 
 def _read_bytes(frame: bytes, start: int, end: int) -> bytes:
@@ -78,85 +82,91 @@
     return struct.unpack_from(f"<{(end - start) // _FLOAT_BYTES}f", frame, start)
 
 
-def _read_entries(frame: bytes, start: int, end: int) -> list[ListEntry]:
-    return [ListEntry._make(fields) for fields in _ENTRY.iter_unpack(frame[start:end])]
+def _read_list_entries(frame: bytes, start: int, end: int) -> list[ListEntry]:
+    return [ListEntry._make(fields) for fields in _LIST_ENTRY.iter_unpack(frame[start:end])]
 
 
-class _Format(NamedTuple):
-    """How a record is laid out after its code, and what it becomes."""
+class _RecordFormat(NamedTuple):
+    """Layout of a record after its code, and the type of the decoded record."""
 
-    fixed: struct.Struct
+    fixed_fields: struct.Struct
     record_type: Callable[..., Record]
+    """Creates the record from its fixed fields, without the item count, and its content."""
     item_bytes: int = 0
-    """Size of one item of the content; 0: the record has no content."""
+    """Size of one item of the content; 0 if the record has no content."""
     read_content: Callable[[bytes, int, int], Content] = _read_bytes
+    """Decodes the content, which has these start and end positions in the frame."""
 
 
-def _ignore(code: EventCode, layout: str, item_bytes: int = 0) -> _Format:
-    """Return the format of a record of which nothing but the code is kept."""
+def _ignore(code: EventCode, layout: str, item_bytes: int = 0) -> _RecordFormat:
+    """Return the format of a record that is decoded to an `IgnoredRecord`, without its fields."""
     record = IgnoredRecord(code)
-    return _Format(struct.Struct(layout), lambda *_fields: record, item_bytes)
+    return _RecordFormat(struct.Struct(layout), lambda *_fields: record, item_bytes)
 
 
-_FORMATS: dict[int, _Format] = {
-    EventCode.SYNC: _Format(struct.Struct("<IBH"), EndpointUpdateRecord),
+_RECORD_FORMATS: dict[int, _RecordFormat] = {
+    EventCode.SYNC: _RecordFormat(struct.Struct("<IBH"), EndpointUpdateRecord),
     EventCode.ACK_FIRST: _ignore(EventCode.ACK_FIRST, "<Q6sQH"),
     EventCode.SAMPLED: _ignore(EventCode.SAMPLED, "<6sHQB", _FLOAT_BYTES),
-    EventCode.SELECT: _Format(struct.Struct("<H"), SelectRecord),
-    EventCode.CLIENT_GONE: _Format(struct.Struct("<Q"), ClientDisconnectedRecord),
-    EventCode.ATTACH: _Format(struct.Struct("<QI"), AttachRecord, 1),
+    EventCode.SELECT: _RecordFormat(struct.Struct("<H"), SelectRecord),
+    EventCode.CLIENT_GONE: _RecordFormat(struct.Struct("<Q"), ClientDisconnectedRecord),
+    EventCode.ATTACH: _RecordFormat(struct.Struct("<QI"), AttachRecord, 1),
     EventCode.MAIL: _ignore(EventCode.MAIL, "<HH", 1),
-    EventCode.INBOUND: _Format(struct.Struct("<QQQIBQB"), RequestRecord),
-    EventCode.FINISHED: _Format(struct.Struct("<QBHQ6sHB"), AttemptOutcomeRecord, _FLOAT_BYTES, _read_floats),
-    EventCode.DUE: _Format(struct.Struct("<I"), TimerFiredRecord),
-    EventCode.CRASH_NOW: _Format(struct.Struct("<"), CrashRecord),
-    EventCode.ROSTER: _Format(struct.Struct("<HI"), EndpointListRecord, _ENTRY.size, _read_entries),
+    EventCode.INBOUND: _RecordFormat(struct.Struct("<QQQIBQB"), RequestRecord),
+    EventCode.FINISHED: _RecordFormat(
+        struct.Struct("<QBHQ6sHB"), AttemptOutcomeRecord, _FLOAT_BYTES, _read_floats
+    ),
+    EventCode.DUE: _RecordFormat(struct.Struct("<I"), TimerFiredRecord),
+    EventCode.CRASH_NOW: _RecordFormat(struct.Struct("<"), CrashRecord),
+    EventCode.ROSTER: _RecordFormat(
+        struct.Struct("<HI"), EndpointListRecord, _LIST_ENTRY.size, _read_list_entries
+    ),
 }
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """Read the next frame, without its length field; None at a clean end of input.
+    """Read the next frame and return it without its length field; return None at the end of the input.
 
     Raises WireError if the input ends inside a frame.
     """
-    head = stream.read(_LENGTH.size)
-    if not head:
+    length_field = stream.read(_LENGTH.size)
+    if not length_field:
         return None
-    if len(head) < _LENGTH.size:
-        raise WireError("truncated frame: input ended inside the length field")
-    (length,) = _LENGTH.unpack(head)
+    if len(length_field) < _LENGTH.size:
+        raise WireError("truncated frame: the input ended inside the length field")
+    (length,) = _LENGTH.unpack(length_field)
     body = stream.read(length)
     if len(body) < length:
-        raise WireError(f"truncated frame: {length} bytes announced, {len(body)} received")
+        raise WireError(f"truncated frame: {length} bytes announced, {len(body)} bytes received")
     return body
 
 
 def decode_batch(frame: bytes) -> Batch:
-    """Decode an input frame without its length field; raises WireError."""
+    """Decode an input frame, which is passed without its length field; raises WireError."""
     if len(frame) < _BATCH_HEADER.size:
-        raise WireError(f"malformed frame: {len(frame)} bytes are too few for a batch header")
-    clock_ns, count = _BATCH_HEADER.unpack_from(frame)
+        raise WireError(f"malformed frame: {len(frame)} bytes are too few for the frame header")
+    clock_ns, record_count = _BATCH_HEADER.unpack_from(frame)
     records: list[Record] = []
     position, end = _BATCH_HEADER.size, len(frame)
-    for index in range(count):
+    for index in range(record_count):
         if position >= end:
-            raise WireError(f"malformed frame: {count} records announced, {index} found")
+            raise WireError(f"malformed frame: {record_count} records announced, {index} found")
         code = frame[position]
-        record_format = _FORMATS.get(code)
+        record_format = _RECORD_FORMATS.get(code)
         if record_format is None:
             raise WireError(f"unknown event code {code} in record {index}")
         layout, record_type, item_bytes, read_content = record_format
-        body = position + 1
-        position = body + layout.size
+        fields_start = position + 1
+        position = fields_start + layout.size
         if position > end:
-            raise _cut_short(index, code)
-        fields = layout.unpack_from(frame, body)
+            raise _truncated_record(index, code)
+        fields = layout.unpack_from(frame, fields_start)
         if item_bytes:
-            start = position
+            content_start = position
             position += fields[-1] * item_bytes
             if position > end:
-                raise _cut_short(index, code)
-            records.append(record_type(*fields[:-1], read_content(frame, start, position)))
+                raise _truncated_record(index, code)
+            records.append(record_type(*fields[:-1], read_content(frame, content_start, position)))
         else:
             records.append(record_type(*fields))
     if position != end:
@@ -164,22 +174,22 @@
     return Batch(clock_ns, records)
 
 
-def _cut_short(index: int, code: int) -> WireError:
-    return WireError(f"malformed frame: record {index} ({EventCode(code).name}) is cut short")
+def _truncated_record(index: int, code: int) -> WireError:
+    return WireError(f"malformed frame: record {index} ({EventCode(code).name}) is truncated")
 
 
 def encode_action(code: ActionCode, *fields: int | bytes) -> bytes:
-    """Encode an action of fixed layout."""
-    return _ACTIONS[code].pack(code, *fields)
+    """Encode an action with a fixed layout; `fields` are those after the action code."""
+    return _ACTION_LAYOUTS[code].pack(code, *fields)
 
 
 def encode_text(code: ActionCode, text: str) -> bytes:
-    """Encode an action that carries text, cut to `_MAX_TEXT_BYTES`."""
+    """Encode an action that carries text, of which it keeps the first `_MAX_TEXT_BYTES` bytes of UTF-8."""
     data = text.encode("utf-8", "replace")[:_MAX_TEXT_BYTES]
-    return _TEXT.pack(code, len(data)) + data
+    return _TEXT_HEADER.pack(code, len(data)) + data
 
 
 def encode_reply(actions: list[bytes]) -> bytes:
-    """Return the complete output frame of encoded actions."""
+    """Return the complete output frame, with its length field, for encoded actions."""
     body = b"".join(actions)
     return _REPLY_HEADER.pack(_ACTION_COUNT_BYTES + len(body), len(actions)) + body
--- a/moleport/adapter/records.py
+++ b/moleport/adapter/records.py
@@ -1,7 +1,8 @@
-"""The input records of the simulator's protocol as typed messages, and the protocol's codes.
+"""The input records of the simulator's protocol as typed messages, and the codes of records and actions.
 
-The codes keep the protocol's own names; the messages use the project's terms. Their fields are in the order
-of the layout on the wire. Times and durations are in nanoseconds, on the simulator's clock.
+The codes have the names of the protocol; the messages have the names that this code uses. The fields of a
+message are in the order of its layout in a frame. Times and durations are in nanoseconds, on the simulator's
+clock.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class EventCode(IntEnum):
-    """First byte of an input record."""
+    """First byte of an input record; each code is documented by the message that the record becomes."""
 
     SYNC = 0
     """`EndpointUpdateRecord`"""
@@ -40,7 +41,7 @@
 
 
 class ActionCode(IntEnum):
-    """First byte of an output record."""
+    """First byte of an output record; most codes are documented by the action that they encode."""
 
     FORWARD = 64
     """`Forward`"""
@@ -53,29 +54,31 @@
     HANG_UP = 70
     """`CloseIdleConnections`"""
     FAULT = 73
-    """The decision module raised an exception; carries the traceback."""
+    """Reports an exception of the decision module; the record contains the traceback."""
     LISTEN = 74
     """`WatchEndpoints`"""
     SOURCE = 76
-    """The instance whose actions follow."""
+    """Names the instance that the actions after this record are from."""
 
 
 class SelectRecord(NamedTuple):
-    """The records that follow are for this instance."""
+    """Selects the instance that the records after this one are for."""
 
     instance: int
+    """Number of the instance."""
 
 
 class AttachRecord(NamedTuple):
-    """Start the selected instance."""
+    """Starts the selected instance, or restarts it without its state."""
 
     seed: int
+    """Seed of the instance's random numbers."""
     settings_text: bytes
-    """Lines of path=value, in UTF-8."""
+    """Settings as lines of the form path=value, in UTF-8."""
 
 
 class CrashRecord(NamedTuple):
-    """Drop the selected instance with all its state."""
+    """Removes the selected instance with all its state."""
 
 
 class ListEntry(NamedTuple):
@@ -83,73 +86,92 @@
 
     id: bytes
     zone: int
+    """Index of the endpoint's zone."""
     hardware_type: int
+    """Index of the endpoint's hardware type."""
     cell: int
+    """Number of the endpoint's cell."""
     state: int
+    """Number of an endpoint state; see `ENDPOINT_STATES` in `moleport.adapter.translation`."""
     weight: float
+    """Relative capacity."""
     started_at_ns: int
+    """Time of the endpoint's last start; 0 stands for a start long ago."""
 
 
 class EndpointListRecord(NamedTuple):
-    """Define an endpoint list, to which any instance may refer by its number."""
+    """Defines an endpoint list, to which update records of any instance may refer by its number."""
 
     list_number: int
     entries: list[ListEntry]
 
 
 class EndpointUpdateRecord(NamedTuple):
-    """An update of the selected instance's endpoint list."""
+    """Updates the endpoint list of the selected instance."""
 
     unused: int
+    """Field that the adapter does not read."""
     kind: int
+    """Number of an update kind; see `UPDATE_KINDS` in `moleport.adapter.translation`."""
     list_number: int
+    """Number of the `EndpointListRecord` with the entries."""
 
 
 class RequestRecord(NamedTuple):
-    """A client's request was accepted."""
+    """Reports that the selected instance accepted a client's request."""
 
     request_id: int
     unused: int
+    """Field that the adapter does not read."""
     remaining_ns: int
+    """Time for which the client will wait for the response."""
     tenant_index: int
     class_index: int
+    """Index of the request class in the settings."""
     key: int
+    """Hash of the key of the request; 0 stands for none."""
     options: int
-    """Bits; see `OPTION_CLIENT_RETRY`."""
+    """Bit field; see `OPTION_CLIENT_RETRY`."""
 
 
 class AttemptOutcomeRecord(NamedTuple):
-    """An attempt has ended."""
+    """Reports the end of an attempt."""
 
     request_id: int
     is_answered: int
+    """Not 0 if the client has its final response."""
     result: int
+    """Number of an attempt result; see `ATTEMPT_RESULTS` in `moleport.adapter.translation`."""
     elapsed_ns: int
+    """Duration of the attempt."""
     endpoint_id: bytes
     attempt_index: int
+    """Index among the attempts for the request, from 0."""
     load_report: tuple[float, ...]
+    """Figures of the endpoint's load report, in the order of the settings; empty if there was none."""
 
 
 class ClientDisconnectedRecord(NamedTuple):
-    """The client of a request has disconnected."""
+    """Reports that the client of a request has disconnected."""
 
     request_id: int
 
 
 class TimerFiredRecord(NamedTuple):
-    """A timer of the selected instance has come due."""
+    """Reports that a timer of the selected instance has fired."""
 
     timer_id: int
+    """Number of the timer; those of the decision module are in `TimerId` of its interface."""
 
 
 class IgnoredRecord(NamedTuple):
-    """A record that has no part in any decision; its content is skipped."""
+    """A record that the decision module does not use; the decoder skips its content."""
 
     code: EventCode
 
 
 OPTION_CLIENT_RETRY = 2
-"""Bit of a request's options: the client has sent this request before."""
+"""Bit of `RequestRecord.options` that is set if the client has sent this request before."""
 
 Record = (
     SelectRecord
@@ -164,7 +186,7 @@
     | IgnoredRecord
 )
 
-_CODES: dict[type[Record], EventCode] = {
+_CODES_BY_TYPE: dict[type[Record], EventCode] = {
     SelectRecord: EventCode.SELECT,
     AttachRecord: EventCode.ATTACH,
     CrashRecord: EventCode.CRASH_NOW,
@@ -178,6 +200,6 @@
 
 
 def protocol_name(record: Record) -> str:
-    """Return the protocol's own name of a record's code, for error messages."""
-    code = record.code if isinstance(record, IgnoredRecord) else _CODES[type(record)]
+    """Return the name that the protocol gives to a record's code, for error messages."""
+    code = record.code if isinstance(record, IgnoredRecord) else _CODES_BY_TYPE[type(record)]
     return code.name
--- a/moleport/adapter/translation.py
+++ b/moleport/adapter/translation.py
@@ -1,6 +1,6 @@
-"""Translates the simulator's records to the decision module's events, and its actions to records.
+"""Translates the simulator's records to events of the decision module, and its actions to output records.
 
-Decides nothing itself.
+This module makes no decisions: the decision module alone determines the actions.
 """
 
 from __future__ import annotations
@@ -34,18 +34,20 @@
 
 _T = TypeVar("_T")
 
-# Kind 1 has no entry: no event of the decision module stands for it, and a record of this kind is an error.
+# Kind 1 is missing, as the decision module has no event for it: a record of this kind raises WireError.
 UPDATE_KINDS = {
     0: api.EndpointUpdateKind.CACHED,
     2: api.EndpointUpdateKind.DELTA,
     3: api.EndpointUpdateKind.SNAPSHOT,
     4: api.EndpointUpdateKind.FAILED,
 }
+"""Kinds of endpoint updates by their numbers in the protocol."""
 ENDPOINT_STATES = {
     0: api.EndpointState.REMOVED,
     1: api.EndpointState.READY,
     2: api.EndpointState.DRAINING,
 }
+"""Endpoint states by their numbers in the protocol."""
 ATTEMPT_RESULTS = {
     100: api.AttemptResult.OK,
     301: api.AttemptResult.ERROR,
@@ -56,19 +58,20 @@
     306: api.AttemptResult.CANCELLED,
     307: api.AttemptResult.NOT_SENT,
 }
-WATCH_ON = 1
+"""Attempt results by their numbers in the protocol."""
+START_WATCH = 1
 """The only value of the field of a `LISTEN` action."""
 
 
 def read_settings(text: str) -> api.Settings:
-    """Read the settings from the path=value lines of an `AttachRecord`; raises SettingsError."""
+    """Return the settings in the path=value lines of an `AttachRecord`; raises SettingsError."""
     return parse_settings(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
 
 def encode_action(action: api.Action) -> bytes:
-    """Encode an action of the decision module."""
+    """Encode an action of the decision module as an output record."""
     if isinstance(action, api.Forward):
-        # The protocol has no field for `write_deadline_ns`.
+        # `write_deadline_ns` is not encoded, as the protocol has no field for it.
         return frames.encode_action(
             ActionCode.FORWARD, action.request_id, action.endpoint_id, action.timeout_ns
         )
@@ -81,22 +84,22 @@
     if isinstance(action, api.SetTimer):
         return frames.encode_action(ActionCode.WAKE_AT, *action)
     if isinstance(action, api.WatchEndpoints):
-        return frames.encode_action(ActionCode.LISTEN, WATCH_ON)
+        return frames.encode_action(ActionCode.LISTEN, START_WATCH)
     assert_never(action)
 
 
-def _lookup(table: Mapping[int, _T], value: int, what: str) -> _T:
-    if value not in table:
-        raise WireError(f"unknown {what} {value}")
-    return table[value]
+def _lookup(table: Mapping[int, _T], number: int, number_name: str) -> _T:
+    if number not in table:
+        raise WireError(f"unknown {number_name} {number}")
+    return table[number]
 
 
-def _endpoint(entry: ListEntry) -> api.Endpoint:
+def _translate_endpoint(entry: ListEntry) -> api.Endpoint:
     return api.Endpoint(
         id=entry.id,
         zone=entry.zone,
         cell=entry.cell,
-        state=_lookup(ENDPOINT_STATES, entry.state, "server state"),
+        state=_lookup(ENDPOINT_STATES, entry.state, "endpoint state"),
         weight=entry.weight,
         started_at_ns=entry.started_at_ns,
         hardware_type=entry.hardware_type,
@@ -104,41 +107,43 @@
 
 
 class Adapter:
-    """All instances of the decision module in this process, and the endpoint lists they refer to."""
+    """Runs all instances of the decision module in this process, and stores their endpoint lists."""
 
     def __init__(self) -> None:
-        """Start without instances and without lists."""
+        """Create an adapter without instances and endpoint lists."""
         self._balancers: dict[int, Balancer] = {}
-        self._class_counts: dict[int, int] = {}  # by instance
+        self._class_counts: dict[int, int] = {}  # number of request classes by instance
         self._endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}
 
-    def answer(self, frame: bytes) -> bytes:
-        """Return the output frame for one input frame, which comes without its length field.
+    def reply_to(self, frame: bytes) -> bytes:
+        """Return the output frame for one input frame, which is passed without its length field.
 
-        Raises WireError or SettingsError for input that breaks the protocol.
+        Raises WireError for a frame that violates the protocol, and SettingsError for invalid settings.
         """
         clock_ns, records = frames.decode_batch(frame)
         encoded_actions: list[bytes] = []
-        current: int | None = None
-        source: int | None = None
+        selected_instance: int | None = None
+        source_instance: int | None = None
         for record in records:
             if isinstance(record, SelectRecord):
-                current = record.instance
+                selected_instance = record.instance
                 continue
             if isinstance(record, EndpointListRecord):
-                self._endpoint_lists[record.list_number] = tuple(map(_endpoint, record.entries))
+                self._endpoint_lists[record.list_number] = tuple(map(_translate_endpoint, record.entries))
                 continue
-            if current is None:
-                raise WireError(f"{protocol_name(record)} comes before any SELECT")
-            encoded = self._apply(clock_ns, current, record)
-            if encoded and source != current:
-                source = current
-                encoded_actions.append(frames.encode_action(ActionCode.SOURCE, current))
+            if selected_instance is None:
+                raise WireError(
+                    f"{protocol_name(record)} record precedes the first SELECT record of its frame"
+                )
+            encoded = self._apply(clock_ns, selected_instance, record)
+            if encoded and source_instance != selected_instance:
+                source_instance = selected_instance
+                encoded_actions.append(frames.encode_action(ActionCode.SOURCE, selected_instance))
             encoded_actions += encoded
         return frames.encode_reply(encoded_actions)
 
     def _apply(self, clock_ns: int, instance: int, record: Record) -> list[bytes]:
-        """Apply a record to its instance, and return the encoded actions."""
+        """Apply a record to an instance, and return the encoded actions of the instance."""
         if isinstance(record, AttachRecord):
             return self._attach(clock_ns, instance, record)
         if isinstance(record, CrashRecord):
@@ -146,10 +151,10 @@
             return []
         balancer = self._balancers.get(instance)
         if balancer is None:
-            raise WireError(f"{protocol_name(record)} for instance {instance}, which is not attached")
+            raise WireError(f"{protocol_name(record)} record for instance {instance}, which is not attached")
         if isinstance(record, IgnoredRecord):
             return []
-        event = self._event(instance, record)
+        event = self._translate_event(instance, record)
         try:
             actions = balancer.handle(clock_ns, event)
         except Exception:
@@ -171,40 +176,42 @@
             return [_encode_fault()]
         return [encode_action(action) for action in actions]
 
-    def _event(self, instance: int, record: Record) -> api.Event:
-        """Translate a record to an event; raises WireError for a code or a number that is not known."""
+    def _translate_event(self, instance: int, record: Record) -> api.Event:
+        """Translate a record to an event; raises WireError for an unknown code or number in the record."""
         if isinstance(record, RequestRecord):
-            return self._request(instance, record)
+            return self._translate_request(instance, record)
         if isinstance(record, AttemptOutcomeRecord):
-            return _attempt_outcome(record)
+            return _translate_attempt_outcome(record)
         if isinstance(record, TimerFiredRecord):
             return api.TimerFired(record.timer_id)
         if isinstance(record, EndpointUpdateRecord):
-            return self._endpoint_update(record)
+            return self._translate_endpoint_update(record)
         if isinstance(record, ClientDisconnectedRecord):
             return api.ClientDisconnected(record.request_id)
-        raise WireError(f"{protocol_name(record)} is no event")
+        raise WireError(f"{protocol_name(record)} record cannot be translated to an event")
 
-    def _request(self, instance: int, record: RequestRecord) -> api.Request:
+    def _translate_request(self, instance: int, record: RequestRecord) -> api.Request:
         request_id, _, remaining_ns, tenant_index, class_index, key, options = record
         if class_index >= self._class_counts[instance]:
             raise WireError(f"unknown request class {class_index}")
         is_client_retry = bool(options & OPTION_CLIENT_RETRY)
         return api.Request(request_id, remaining_ns, class_index, tenant_index, key, is_client_retry)
 
-    def _endpoint_update(self, record: EndpointUpdateRecord) -> api.EndpointUpdate:
-        kind = _lookup(UPDATE_KINDS, record.kind, "list kind")
+    def _translate_endpoint_update(self, record: EndpointUpdateRecord) -> api.EndpointUpdate:
+        kind = _lookup(UPDATE_KINDS, record.kind, "endpoint update kind")
         if kind is api.EndpointUpdateKind.FAILED:
             return api.EndpointUpdate(kind, ())
-        return api.EndpointUpdate(kind, _lookup(self._endpoint_lists, record.list_number, "list number"))
+        return api.EndpointUpdate(
+            kind, _lookup(self._endpoint_lists, record.list_number, "endpoint list number")
+        )
 
 
-def _attempt_outcome(record: AttemptOutcomeRecord) -> api.AttemptOutcome:
+def _translate_attempt_outcome(record: AttemptOutcomeRecord) -> api.AttemptOutcome:
     request_id, is_answered, result, elapsed_ns, endpoint_id, attempt_index, load_report = record
     return api.AttemptOutcome(
         request_id,
         bool(is_answered),
-        _lookup(ATTEMPT_RESULTS, result, "outcome"),
+        _lookup(ATTEMPT_RESULTS, result, "attempt result"),
         elapsed_ns,
         endpoint_id,
         attempt_index,
@@ -213,5 +220,5 @@
 
 
 def _encode_fault() -> bytes:
-    """Report the exception in hand: the decision module failed, and no action may be made up for it."""
+    """Encode the current exception of the decision module; the adapter invents no action in its place."""
     return frames.encode_text(ActionCode.FAULT, traceback.format_exc(limit=-4))
--- a/moleport/config/__init__.py
+++ b/moleport/config/__init__.py
@@ -1,1 +1,4 @@
-"""Reads the node's configuration, its settings and discovery's endpoint lists, and translates their words."""
+"""Parsers for the configuration file, the settings and the endpoint lists of discovery.
+
+They translate the keys and values of these documents to the names that the code uses.
+"""
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -1,18 +1,19 @@
-"""The endpoint list in JSON, as discovery sends it and the configuration file holds it.
+"""Parses endpoint lists in JSON, which discovery sends and the configuration file contains.
 
-A list is an object with `version` (integer), `full` (true: a complete list; else changed entries only) and
-`servers`, a list of objects:
+An endpoint list is a JSON object with three keys. `version` is an integer. `full` is true for a complete
+list; with any other value, or without it, the list contains changed entries only. `servers` is a list of
+objects:
 
-| key | field of `DiscoveredEndpoint` | if it is left out |
+| key | field of `DiscoveredEndpoint` | default |
 | --- | --- | --- |
-| `id` | `id` | an error |
-| `addr` | `address`, as host:port | an error, unless the endpoint is removed |
-| `state` | `state`: `Ready`, `Terminating` (draining) or `Gone` (removed) | an error |
+| `id` | `id` | none: the key is required |
+| `addr` | `address`, in the form host:port | none: the key is required, unless the state is `Gone` |
+| `state` | `state`: `Ready`, `Terminating` (draining) or `Gone` (removed) | none: the key is required |
 | `zone` | `zone` | empty |
 | `kind` | `hardware_type` | empty |
 | `cell` | `cell` | 0 |
-| `weight` | `weight`; a number that is not positive and finite counts as 1 | 1 |
-| `started_ms` | `started_ms` | 0 |
+| `weight` | `weight`; 1 replaces a number that is not positive and finite | 1 |
+| `started_ms` | `started_ms`; 0 replaces a negative number | 0 |
 """
 
 from __future__ import annotations
@@ -24,114 +25,123 @@
 
 from moleport.policy.interface import EndpointState
 
-STATES = {
+STATES_BY_TEXT = {
     "Ready": EndpointState.READY,
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
 }
+"""Endpoint states by their text in an endpoint list."""
 DEFAULT_WEIGHT = 1.0
-PORT_LIMIT = 1 << 16
+"""Relative capacity of an endpoint whose entry has no usable weight."""
+PORT_COUNT = 1 << 16
+"""Number of TCP ports: valid ports are 0 to `PORT_COUNT - 1`."""
 
 
 class EndpointListError(Exception):
-    """An endpoint list or an address that can't be used; the text says why."""
+    """Raised for an invalid endpoint list or address; the message names the reason."""
 
 
 class DiscoveredEndpoint(NamedTuple):
     """One entry of an endpoint list."""
 
     id: str
+    """Unique name of the endpoint; it can be encoded as UTF-8."""
     address: tuple[str, int]
-    """Host and port; ("", 0) for an endpoint that is removed."""
+    """IP address and port; ("", 0) for a removed endpoint."""
     zone: str
+    """Name of the endpoint's zone; empty if the entry has none."""
     hardware_type: str
+    """Name of the endpoint's hardware type; empty if the entry has none."""
     cell: int
+    """Number of the endpoint's cell."""
     state: EndpointState
     weight: float
-    """Relative capacity: positive and finite."""
+    """Relative capacity, a positive and finite number."""
     started_ms: int
-    """Unix time of its last start in ms; 0: long ago."""
+    """Unix time of the endpoint's last start in ms; 0 stands for a start long ago."""
 
 
 class DiscoveryUpdate(NamedTuple):
-    """A complete endpoint list, or a change of one."""
+    """A complete endpoint list, or the changed entries of one."""
 
     version: int
+    """Version number that discovery gave this update."""
     is_snapshot: bool
-    """The list is complete: an endpoint that it leaves out is removed."""
+    """Whether the list is complete, so that an endpoint without an entry is removed."""
     endpoints: tuple[DiscoveredEndpoint, ...]
+    """Entries in the order of the document; of two entries with the same id, the later one takes effect."""
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """Return host and port of an address; raises EndpointListError.
+    """Return the host and port of an address; raises EndpointListError.
 
-    Accepted are `a.b.c.d:port` and an IPv6 address, without brackets, followed by `:port`; the last colon
-    separates the port, from 0 to 65535. Names are not resolved.
+    Valid addresses are `a.b.c.d:port` and an IPv6 address, without brackets, followed by `:port`. The last
+    colon separates the port, which is 0 to 65535. Host names are not resolved and raise EndpointListError.
     """
     if not isinstance(text, str):
-        raise EndpointListError(f"no address: {text!r}")
+        raise EndpointListError(f"address is not text: {text!r}")
     host, _, port = text.rpartition(":")
     try:
         if ":" in host:
-            # inet_pton takes no scope. Imported where it is needed, as it would slow down each start.
+            # inet_pton does not accept a scope id. The import is local because it would slow down each start.
             from ipaddress import ip_address
 
             ip_address(host)
         else:
             inet_pton(AF_INET, host)
-        number = int(port)
+        port_number = int(port)
     except (OSError, ValueError):
-        raise EndpointListError(f"no address: {text!r}") from None
-    if not 0 <= number < PORT_LIMIT:
-        raise EndpointListError(f"no port: {text!r}")
-    return host, number
+        raise EndpointListError(f"address is not a numeric host:port: {text!r}") from None
+    if not 0 <= port_number < PORT_COUNT:
+        raise EndpointListError(f"port is out of range in address: {text!r}")
+    return host, port_number
 
 
 def parse_update(document: object) -> DiscoveryUpdate:
-    """Return the update that a JSON document holds; raises EndpointListError.
+    """Parse the JSON document of an endpoint list; raises EndpointListError.
 
-    Entries are not merged: of two with the same id, the later one holds.
+    Entries are not merged: of two entries with the same id, the later one takes effect.
     """
     version, is_snapshot, entries = parse_update_header(document)
     return DiscoveryUpdate(version, is_snapshot, tuple(parse_endpoints(entries)))
 
 
 def parse_update_header(document: object) -> tuple[int, bool, list[object]]:
-    """Return version, whether the list is complete, and its unparsed entries; raises EndpointListError."""
+    """Return the version, whether the list is complete, and the raw entries; raises EndpointListError."""
     if not isinstance(document, dict):
-        raise EndpointListError("it is no object")
+        raise EndpointListError("the endpoint list is not a JSON object")
     version, entries = document.get("version"), document.get("servers")
     if not isinstance(version, int) or isinstance(version, bool) or not isinstance(entries, list):
-        raise EndpointListError("version or servers is missing")
+        raise EndpointListError("version is not an integer, or servers is not a list")
     return version, document.get("full") is True, entries
 
 
 def parse_endpoints(entries: list[object]) -> list[DiscoveredEndpoint]:
-    """Parse entries in 1 to 2 ms a thousand; raises EndpointListError, which names the entry at fault."""
+    """Parse entries, at 1 to 2 ms per thousand; raises EndpointListError, which names the invalid entry."""
     return [_parse_endpoint(entry) for entry in entries]
 
 
 def _parse_endpoint(entry: Any) -> DiscoveredEndpoint:
     try:
-        state = STATES[entry["state"]]
+        state = STATES_BY_TEXT[entry["state"]]
         is_removed = state is EndpointState.REMOVED
         address = ("", 0) if is_removed else parse_address(entry["addr"])
         endpoint_id = entry["id"]
         if not isinstance(endpoint_id, str):
-            raise ValueError("id is no text")
+            raise ValueError("id is not text")
         if not endpoint_id.isascii():
-            endpoint_id.encode()  # raises for a lone surrogate, which could not be hashed
+            endpoint_id.encode()  # raises for a lone surrogate: such an id could not be hashed
         weight = float(entry.get("weight", DEFAULT_WEIGHT))
         return DiscoveredEndpoint(
             endpoint_id,
             address,
-            intern(str(entry.get("zone", ""))),  # interned: thousands of entries share a few names
+            intern(str(entry.get("zone", ""))),  # interned, as thousands of entries share a few names
             intern(str(entry.get("kind", ""))),
             int(entry.get("cell", 0)),
             state,
-            weight if 0.0 < weight < inf else DEFAULT_WEIGHT,  # also for NaN
+            weight if 0.0 < weight < inf else DEFAULT_WEIGHT,  # the default also replaces NaN
             max(0, int(entry.get("started_ms", 0))),
         )
-    except (AttributeError, KeyError, TypeError, ValueError, OverflowError, EndpointListError) as problem:
-        name = entry.get("id") if isinstance(entry, dict) else entry
-        raise EndpointListError(f"bad entry {name!r:.80}: {problem!r:.200}") from None
+    except (AttributeError, KeyError, TypeError, ValueError, OverflowError, EndpointListError) as error:
+        entry_name = entry.get("id") if isinstance(entry, dict) else entry
+        raise EndpointListError(f"invalid entry {entry_name!r:.80}: {error!r:.200}") from None
--- a/moleport/config/node_config.py
+++ b/moleport/config/node_config.py
@@ -1,15 +1,15 @@
-"""Reads the node's configuration from its environment and its configuration file.
+"""Reads the node's configuration from its environment variables and its configuration file.
 
-`BALANCER_CONFIG` is the path of the file, a JSON object with these keys:
+The variable `BALANCER_CONFIG` is the path of the file, which contains a JSON object with these keys:
 
 | key | field of `Config` |
 | --- | --- |
-| `listen` | `listen_address`; the variable `BALANCER_LISTEN` goes before it |
-| `discovery` | `discovery_address`; the variable `BALANCER_DISCOVERY` goes before it at the start |
-| `seed` | `seed`, a number or hexadecimal text |
+| `listen` | `listen_address`; the variable `BALANCER_LISTEN` overrides it |
+| `discovery` | `discovery_address`; the variable `BALANCER_DISCOVERY` overrides it at the process's start |
+| `seed` | `seed`, as a number or as hexadecimal text |
 | `limits.sockets` | `max_descriptors` |
 | `known` | `cached_endpoints`, in the form of `moleport.config.endpoints` |
-| `settings` | all others; the words are in `moleport.config.protocol_keys` |
+| `settings` | all others; their keys and values are in `moleport.config.protocol_keys` |
 """
 
 from __future__ import annotations
@@ -21,69 +21,81 @@
 
 from moleport.config.endpoints import DiscoveryUpdate, EndpointListError, parse_address, parse_update
 from moleport.config.protocol_keys import ENTRY_NAME_KEY, NodeKey, RequestClassKey, SettingKey
-from moleport.config.settings import SettingsError, SettingsReader, flatten, parse_settings, shown
+from moleport.config.settings import SettingsError, SettingsReader, flatten, format_for_error, parse_settings
 from moleport.policy import interface as api
 
 CONFIG_VARIABLE = "BALANCER_CONFIG"
+"""Environment variable with the path of the configuration file."""
 LISTEN_VARIABLE = "BALANCER_LISTEN"
+"""Environment variable with the address at which the node accepts clients."""
 DISCOVERY_VARIABLE = "BALANCER_DISCOVERY"
+"""Environment variable with the address of the discovery agent."""
 
 MIN_DESCRIPTOR_COUNT = 96
-"""With fewer, nothing is left for clients and endpoints beside the node's own descriptors."""
+"""With fewer, the node's own descriptors leave none for connections to clients and servers."""
 MAX_DESCRIPTOR_COUNT = 1 << 30
-"""Linux allows no more for a process."""
+"""Linux allows a process no more file descriptors."""
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text names the key or the variable at fault."""
+    """Raised for an invalid configuration; the message names the invalid key or environment variable."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The node's configuration, checked. The indices are those that the decision module uses."""
+    """The validated configuration of a node.
+
+    The decision module identifies classes, tenants, zones and hardware types by the same indices.
+    """
 
     listen_address: tuple[str, int]
-    """Host and port."""
+    """IP address and port at which the node accepts clients."""
     discovery_address: tuple[str, int]
-    """Host and port."""
+    """IP address and port of the discovery agent."""
     seed: int
+    """Seed of the random numbers of the decision module and of the reconnect backoff."""
     max_descriptors: int
-    """File descriptors that the process may use."""
+    """Number of file descriptors that the process may have open."""
     cached_endpoints: DiscoveryUpdate
-    """The endpoint list as the platform last had it; it may be stale."""
+    """The last endpoint list that the platform had when it wrote the file; it may be stale."""
     policy_settings: api.Settings
+    """Settings of the decision module."""
     class_indices: dict[bytes, int]
-    """Index of each request class by its name in requests."""
+    """Index of each request class by the name that requests give."""
     max_deadlines_ns: tuple[int, ...]
-    """The longest deadline of a request, by class index."""
+    """Longest deadline that a request of a class may have, by class index."""
     tenant_indices: dict[bytes, int]
-    """Index of each tenant by its name in requests."""
+    """Index of each tenant by the name that requests give."""
     zone_indices: dict[str, int]
+    """Index of each zone by the name that endpoint lists give."""
     hardware_type_indices: dict[str, int]
+    """Index of each hardware type by the name that endpoint lists give."""
     load_report_wire_names: tuple[bytes, ...]
-    """Names of the figures in an endpoint's load report, as they stand in responses."""
+    """Names of the figures in a server's load report, as responses contain them."""
     connect_timeout_ns: int
+    """Time within which a connection to a server must be established."""
     idle_timeout_ns: int
-    """An endpoint closes a connection that has been idle for this long."""
+    """Idle time after which a server closes a connection."""
     max_requests: int
-    """Requests that the node may have in flight."""
+    """Number of requests that the node may have in flight."""
     drain_grace_ns: int
-    """Time after an endpoint begins to drain by which sends to it have to end."""
+    """Time after the start of a server's drain by which the node must stop sending to the server."""
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Read the node's configuration; raises ConfigError."""
+    """Read the node's configuration at the start of the process; raises ConfigError."""
     document = _read_file(environment)
     try:
         return _parse(environment, document)
-    except (SettingsError, ValueError) as problem:
-        raise ConfigError(f"settings: {problem}") from None
+    except (SettingsError, ValueError) as error:
+        raise ConfigError(f"settings: {error}") from None
 
 
 def reload(environment: Mapping[str, str]) -> Config:
-    """Read the configuration anew in a running process; raises ConfigError.
+    """Read the configuration again in a running process; raises ConfigError.
 
-    The environment is that of the process's start, so the file's discovery address is the newer one.
+    The environment dates from the start of the process, so the discovery address in the file is newer than
+    the one in `BALANCER_DISCOVERY`.
     """
     return load({name: text for name, text in environment.items() if name != DISCOVERY_VARIABLE})
 
@@ -95,34 +107,34 @@
     try:
         with open(path, encoding="utf-8") as file:
             document = json.load(file)
-    except OSError as problem:
-        raise ConfigError(f"{CONFIG_VARIABLE} can't be read: {problem.strerror}") from None
-    except (ValueError, RecursionError):  # the latter for text that is nested thousands deep
-        raise ConfigError(f"{CONFIG_VARIABLE} is no JSON text") from None
+    except OSError as error:
+        raise ConfigError(f"{CONFIG_VARIABLE}: cannot read {path!r}: {error.strerror}") from None
+    except (ValueError, RecursionError):  # RecursionError if the text has thousands of nesting levels
+        raise ConfigError(f"{CONFIG_VARIABLE}: {path!r} does not contain valid JSON") from None
     if not isinstance(document, dict):
-        raise ConfigError(f"{CONFIG_VARIABLE} holds no JSON object")
+        raise ConfigError(f"{CONFIG_VARIABLE}: {path!r} does not contain a JSON object")
     return document
 
 
 def _parse(environment: Mapping[str, str], document: dict[str, Any]) -> Config:
-    tree = _object(document, "settings")
+    tree = _read_object(document, "settings")
     values = dict(flatten(tree))
     reader = SettingsReader(values)
     return Config(
         policy_settings=parse_settings(values),
-        listen_address=_address(environment, LISTEN_VARIABLE, document, "listen"),
-        discovery_address=_address(environment, DISCOVERY_VARIABLE, document, "discovery"),
-        seed=_seed(document),
-        max_descriptors=_max_descriptors(document),
-        cached_endpoints=_cached_endpoints(document),
-        class_indices=_encoded_indices(tree, SettingKey.CLASSES),
-        max_deadlines_ns=reader.entries(SettingKey.CLASSES, _max_deadline_ns),
-        tenant_indices=_encoded_indices(tree, SettingKey.TENANTS),
-        zone_indices=_name_indices(tree, NodeKey.ZONES),
-        hardware_type_indices=_name_indices(tree, NodeKey.HARDWARE_TYPES),
+        listen_address=_read_address(environment, LISTEN_VARIABLE, document, "listen"),
+        discovery_address=_read_address(environment, DISCOVERY_VARIABLE, document, "discovery"),
+        seed=_read_seed(document),
+        max_descriptors=_read_max_descriptors(document),
+        cached_endpoints=_read_cached_endpoints(document),
+        class_indices=_read_encoded_indices(tree, SettingKey.CLASSES),
+        max_deadlines_ns=reader.entries(SettingKey.CLASSES, _read_max_deadline_ns),
+        tenant_indices=_read_encoded_indices(tree, SettingKey.TENANTS),
+        zone_indices=_read_name_indices(tree, NodeKey.ZONES),
+        hardware_type_indices=_read_name_indices(tree, NodeKey.HARDWARE_TYPES),
         load_report_wire_names=tuple(
-            _encoded(word, SettingKey.LOAD_REPORT_FIELDS)
-            for word in reader.words(SettingKey.LOAD_REPORT_FIELDS)
+            _encode_name(name, SettingKey.LOAD_REPORT_FIELDS)
+            for name in reader.comma_separated(SettingKey.LOAD_REPORT_FIELDS)
         ),
         connect_timeout_ns=reader.integer(NodeKey.CONNECT_TIMEOUT_NS, minimum=1),
         idle_timeout_ns=reader.integer(SettingKey.IDLE_TIMEOUT_NS, minimum=1),
@@ -131,77 +143,83 @@
     )
 
 
-def _object(holder: dict[str, Any], key: str) -> dict[str, Any]:
-    value = holder.get(key)
+def _read_object(parent: dict[str, Any], key: str) -> dict[str, Any]:
+    value = parent.get(key)
     if not isinstance(value, dict):
-        raise ConfigError(f"{key} is no object")
+        raise ConfigError(f"{key} is not a JSON object")
     return value
 
 
-def _address(
+def _read_address(
     environment: Mapping[str, str], variable: str, document: dict[str, Any], key: str
 ) -> tuple[str, int]:
     name, text = (variable, environment[variable]) if variable in environment else (key, document.get(key))
     try:
         return parse_address(text)
     except EndpointListError:
-        raise ConfigError(f"{name} is no address: {shown(text)}") from None
+        raise ConfigError(f"{name} is not a numeric host:port: {format_for_error(text)}") from None
 
 
-def _seed(document: dict[str, Any]) -> int:
+def _read_seed(document: dict[str, Any]) -> int:
     seed = document.get("seed")
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)  # type: ignore[arg-type]
     except (TypeError, ValueError, OverflowError):
-        raise ConfigError(f"seed is unreadable: {shown(seed)}") from None
+        raise ConfigError(f"seed cannot be read as an integer: {format_for_error(seed)}") from None
 
 
-def _max_descriptors(document: dict[str, Any]) -> int:
-    sockets = _object(document, "limits").get("sockets")
+def _read_max_descriptors(document: dict[str, Any]) -> int:
+    sockets = _read_object(document, "limits").get("sockets")
     if isinstance(sockets, int) and MIN_DESCRIPTOR_COUNT <= sockets <= MAX_DESCRIPTOR_COUNT:
         return sockets
     raise ConfigError(
-        f"limits.sockets is no number from {MIN_DESCRIPTOR_COUNT} to {MAX_DESCRIPTOR_COUNT}: {shown(sockets)}"
+        f"limits.sockets is not an integer from {MIN_DESCRIPTOR_COUNT} to {MAX_DESCRIPTOR_COUNT}: "
+        f"{format_for_error(sockets)}"
     )
 
 
-def _cached_endpoints(document: dict[str, Any]) -> DiscoveryUpdate:
+def _read_cached_endpoints(document: dict[str, Any]) -> DiscoveryUpdate:
     try:
         return parse_update(document.get("known"))
-    except EndpointListError as problem:
-        raise ConfigError(f"known is unreadable: {problem}") from None
+    except EndpointListError as error:
+        raise ConfigError(f"known is not a valid endpoint list: {error}") from None
     except RecursionError:
-        raise ConfigError("known is unreadable: it is nested too deeply") from None
+        raise ConfigError("known is not a valid endpoint list: too many nesting levels") from None
 
 
-def _max_deadline_ns(reader: SettingsReader, path: str) -> int:
+def _read_max_deadline_ns(reader: SettingsReader, path: str) -> int:
     return reader.integer(f"{path}.{RequestClassKey.MAX_DEADLINE_NS}", minimum=1)
 
 
-def _entry_names(tree: dict[str, Any], key: str) -> list[str]:
-    """Return the names in a list of objects; the flat form would not keep their spaces and commas."""
+def _read_entry_names(tree: dict[str, Any], key: str) -> list[str]:
+    """Return the names of the entries of a list setting.
+
+    The names are read from the JSON tree, as the flat form would not keep their spaces and commas.
+    """
     entries = tree.get(key) or []
     if not isinstance(entries, list):
-        raise ConfigError(f"settings: {key} is no list")
+        raise ConfigError(f"settings: {key} is not a list")
     if not all(isinstance(entry, dict) and isinstance(entry.get(ENTRY_NAME_KEY), str) for entry in entries):
-        raise ConfigError(f"settings: {key} has an entry without {ENTRY_NAME_KEY}")
+        raise ConfigError(f"settings: {key} has an entry whose {ENTRY_NAME_KEY} is missing or is not text")
     return [entry[ENTRY_NAME_KEY] for entry in entries]
 
 
-def _encoded_indices(tree: dict[str, Any], key: str) -> dict[bytes, int]:
-    names = _entry_names(tree, key)
-    return {_encoded(name, key): index for index, name in enumerate(names)}
+def _read_encoded_indices(tree: dict[str, Any], key: str) -> dict[bytes, int]:
+    names = _read_entry_names(tree, key)
+    return {_encode_name(name, key): index for index, name in enumerate(names)}
 
 
-def _encoded(name: str, key: str) -> bytes:
+def _encode_name(name: str, key: str) -> bytes:
     try:
         return name.encode()
     except UnicodeEncodeError:
-        raise ConfigError(f"settings: {key} has a name that is no text: {shown(name)}") from None
+        raise ConfigError(
+            f"settings: {key} has a name that is not valid text: {format_for_error(name)}"
+        ) from None
 
 
-def _name_indices(tree: dict[str, Any], key: str) -> dict[str, int]:
+def _read_name_indices(tree: dict[str, Any], key: str) -> dict[str, int]:
     names = tree.get(key)
     if not isinstance(names, list):
-        raise ConfigError(f"settings: {key} is no list")
+        raise ConfigError(f"settings: {key} is not a list")
     return {str(name): index for index, name in enumerate(names)}
--- a/moleport/config/protocol_keys.py
+++ b/moleport/config/protocol_keys.py
@@ -1,11 +1,11 @@
-"""The dictionary of the platform's protocol: its words for settings and values, by this project's terms.
+"""The keys and values of settings in the platform's protocol, by the names that this code uses.
 
-Each constant of a class is one setting: its name is the term, in upper case and with its unit, and its value
-is the path of the setting in the protocol. The decision module's fields have the same names in lower case
-(`moleport.policy.interface`).
+Each constant of a class is one setting. Its name is that of the corresponding field in
+`moleport.policy.interface`, in upper case and with its unit. Its value is the path of the setting in the
+protocol.
 
-A list setting has one entry for each index from 0; in flat form, `Grades.count` holds the number of classes
-and `Grades.0.Aim` the latency objective of the first.
+A list setting has an entry for each index from 0. In flat form, `Grades.count` is the number of request
+classes and `Grades.0.Aim` is the latency objective of the first one.
 """
 
 from __future__ import annotations
@@ -14,93 +14,110 @@
 
 
 class SettingKey:
-    """Settings of the service as a whole."""
+    """Paths of the settings of the whole service."""
 
     CLASSES = "Grades"
-    """List of request classes; see `RequestClassKey`."""
+    """List of request classes, each with the keys in `RequestClassKey`."""
     TENANTS = "Tenants"
-    """List of tenants; see `TenantKey`. Optional."""
+    """List of tenants, each with the keys in `TenantKey`. Optional."""
     NODE_COUNT = "PeersTotal"
+    """Number of nodes of the service."""
     NODE_INDEX = "SelfIndex"
-    """From 0. Optional."""
+    """Index of this node among all nodes, from 0. Optional."""
     DISCOVERY_MODE = "MembershipMode"
-    """One of `DISCOVERY_MODES`."""
+    """How the endpoint list reaches a node; one of `DISCOVERY_MODES`."""
     POLL_INTERVAL_NS = "Contract.AskWithin"
+    """With polling: longest time between two polls while no watch is open."""
     SLOW_START_INITIAL_RATIO = "Contract.ColdShare"
-    """0 to 1, of an endpoint's full capacity."""
+    """Initial capacity of an endpoint in slow start, from 0 to 1 of its full capacity."""
     SLOW_START_DURATION_NS = "Contract.Cold"
+    """Time after its start by which an endpoint has its full capacity."""
     OVERLOAD_MULTIPLE = "Contract.FallMultiple"
-    """Optional."""
+    """Load, as a multiple of present capacity, above which an endpoint collapses. Optional."""
     OVERLOAD_WINDOW_NS = "Contract.Fall"
-    """Optional."""
+    """Time for which that load has to last. Optional."""
     KEY_COOLDOWN_NS = "Contract.KeyRest"
-    """Optional; 0 if it is left out."""
+    """Pause of an ordered key after an attempt that may still be running. Optional; the default is 0."""
     MAX_ATTEMPTS = "Limits.SendCap"
+    """Attempts for one request, including the first."""
     MAX_RETRY_AFTER_NS = "Limits.MaxRetryAfter"
+    """Longest Retry-After that a client may get."""
     SENDS_RETRY_AFTER = "Limits.RetryAfter"
-    """One of `FLAGS`."""
+    """Whether rejections carry Retry-After; one of `FLAGS`."""
     IDLE_TIMEOUT_NS = "Limits.IdleClose"
+    """Idle time after which an endpoint closes a connection."""
     WEIGHT_BY_WORK = "WorthBy"
-    """One of `WEIGHT_BY_WORK_VALUES`."""
+    """What a priority weight applies to; one of `WEIGHT_BY_WORK_VALUES`."""
     LOAD_REPORT_FIELDS = "Feedback.Fields"
-    """Names, separated by commas; the known ones are in `LOAD_REPORT_FIELDS`."""
+    """Names of the figures in a load report, separated by commas; see `LOAD_REPORT_FIELDS` below."""
     ZONE = "MyZone"
-    """Index of the node's own zone. Optional."""
+    """Index of this node's zone. Optional."""
 
 
 class RequestClassKey:
-    """Settings of one request class."""
+    """Paths of the settings of one request class, below the path of the class."""
 
     LATENCY_OBJECTIVE_NS = "Aim"
+    """Time within which a response earns the full priority weight."""
     PRIORITY_WEIGHT = "Worth"
+    """Value of a response in time, relative to the other classes."""
     LATE_WEIGHT_RATIO = "LateShare"
-    """0 to 1, of the priority weight."""
+    """Part of the priority weight, from 0 to 1, that a response after the latency objective earns."""
     IDEMPOTENCY = "Semantics"
-    """One of `IDEMPOTENCY_VALUES`."""
+    """Whether a request may be executed more than once; one of `IDEMPOTENCY_VALUES`."""
     DEDUPLICATION_SCOPE = "Group"
-    """One of `DEDUPLICATION_SCOPES`."""
+    """Endpoints that together recognise a repeated request; one of `DEDUPLICATION_SCOPES`."""
     DEDUPLICATION_WINDOW_NS = "MemorySpan"
+    """Time for which endpoints recognise a repeated request."""
     ORDERED_BY_KEY = "OneAtATime"
-    """One of `FLAGS`. Optional; false if it is left out."""
+    """Whether requests with the same key run one at a time; one of `FLAGS`. Optional; false by default."""
     MAX_DEADLINE_NS = "Deadline"
-    """For the node alone; the decision module has no use for it."""
+    """Longest deadline of a request. Only the node reads it; the decision module does not."""
 
 
 class TenantKey:
-    """Settings of one tenant."""
+    """Paths of the settings of one tenant, below the path of the tenant."""
 
     QUOTA_RATIO = "Share"
-    """0 to 1, of the service's capacity."""
+    """Part of the service's capacity, from 0 to 1, that the tenant may use."""
 
 
 class NodeKey:
-    """Settings that only the node uses, and the decision module doesn't."""
+    """Paths of the settings that only the node reads; the decision module does not."""
 
     CONNECT_TIMEOUT_NS = "Limits.DialTimeout"
+    """Time within which a connection to a server must be established."""
     MAX_REQUESTS = "Limits.OpenCap"
+    """Number of requests that the node may have in flight."""
     DRAIN_GRACE_NS = "Contract.StopSendingWithin"
+    """Time after the start of a server's drain by which the node must stop sending to the server."""
     ZONES = "Zones"
-    """List of names; an endpoint's zone is counted by its index."""
+    """List of zone names; the index in this list identifies a zone."""
     HARDWARE_TYPES = "Kinds"
-    """List of names; an endpoint's hardware type is counted by its index."""
+    """List of the names of hardware types; the index in this list identifies a hardware type."""
 
 
 ENTRY_NAME_KEY = "Name"
-"""The name of a request class or a tenant, as it stands in requests."""
+"""Key of the name of a request class or a tenant; requests contain this name."""
 
 IDEMPOTENCY_VALUES = {
     "repeatable": api.Idempotency.IDEMPOTENT,
     "by_key": api.Idempotency.IDEMPOTENCY_KEY,
     "once": api.Idempotency.NOT_IDEMPOTENT,
 }
+"""Meaning of each value of `RequestClassKey.IDEMPOTENCY`."""
 DEDUPLICATION_SCOPES = {
     "all": api.DeduplicationScope.ALL,
     "zone": api.DeduplicationScope.ZONE,
     "cell": api.DeduplicationScope.CELL,
 }
+"""Meaning of each value of `RequestClassKey.DEDUPLICATION_SCOPE`."""
 DISCOVERY_MODES = {"pushed": api.DiscoveryMode.PUSH, "on_request": api.DiscoveryMode.POLL}
+"""Meaning of each value of `SettingKey.DISCOVERY_MODE`."""
 FLAGS = {"true": True, "false": False}
+"""Meaning of each value of a boolean setting."""
 WEIGHT_BY_WORK_VALUES = {"request": False, "work": True}
+"""Meaning of each value of `SettingKey.WEIGHT_BY_WORK`: a weight applies to a request or a unit of work."""
 LOAD_REPORT_FIELDS = {
     "concurrent": "in_flight",
     "depth": "queued",
@@ -109,4 +126,7 @@
     "tps": "completed_per_s",
     "err_ps": "errors_per_s",
 }
-"""A field that is not listed keeps the protocol's name."""
+"""Names of load report fields in this code, by their names in the protocol.
+
+A field without an entry keeps its name in the protocol.
+"""
--- a/moleport/config/settings.py
+++ b/moleport/config/settings.py
@@ -1,6 +1,6 @@
 """Reads the decision module's settings from a flat mapping of paths to text, for the adapter and the node.
 
-The paths and the words of their values are in `moleport.config.protocol_keys`.
+`moleport.config.protocol_keys` defines the paths, and the values of settings with a fixed set of values.
 """
 
 from __future__ import annotations
@@ -13,26 +13,29 @@
 from moleport.config.protocol_keys import RequestClassKey, SettingKey, TenantKey
 from moleport.policy import interface as api
 
-MAX_DEPTH = 64  # objects and lists within each other
-MAX_INTEGER = (1 << 63) - 1  # what the simulator's wire can hold
-MAX_SHOWN_CHARACTERS = 100  # of a value or path in an error
+MAX_NESTING_LEVELS = 64
+"""Highest nesting depth of objects and lists in a settings object."""
+MAX_INTEGER = (1 << 63) - 1
+"""Highest integer that the simulator's protocol can carry."""
+MAX_SHOWN_CHARACTERS = 100
+"""Length to which an error message truncates a value or a path."""
 
 _T = TypeVar("_T")
 _Default = TypeVar("_Default")
 
 
 class SettingsError(Exception):
-    """A setting is missing, unreadable or out of range; the text names it by its path in the protocol."""
+    """Raised for a missing, unreadable or out-of-range setting; the message contains its protocol path."""
 
 
 def flatten(tree: object, path: str = "", depth: int = 0) -> Iterator[tuple[str, str]]:
-    """Yield the paths and values of a settings object in the text form of the simulator's protocol.
+    """Yield the paths and values of a settings object, in the text form of the simulator's protocol.
 
-    Lists of plain values are joined with commas; lists of objects have a count and a path for each index.
-    Raises SettingsError for values that are nested more than MAX_DEPTH deep.
+    A list of plain values becomes one comma-separated text. A list of objects becomes a count, and a path for
+    each index. Raises SettingsError for a value below more than MAX_NESTING_LEVELS objects and lists.
     """
-    if depth > MAX_DEPTH:
-        raise SettingsError(f"setting {path:.{MAX_SHOWN_CHARACTERS}} is nested too deeply")
+    if depth > MAX_NESTING_LEVELS:
+        raise SettingsError(f"setting {path:.{MAX_SHOWN_CHARACTERS}} has too many nesting levels")
     if isinstance(tree, dict):
         for name, value in tree.items():
             yield from flatten(value, f"{path}.{name}" if path else str(name), depth + 1)
@@ -44,7 +47,7 @@
         try:
             yield path, ",".join(str(value) for value in tree)
         except RecursionError:
-            raise SettingsError(f"setting {path} is nested too deeply") from None
+            raise SettingsError(f"setting {path} has too many nesting levels") from None
     elif isinstance(tree, bool):
         yield path, str(tree).lower()
     else:
@@ -52,10 +55,13 @@
 
 
 class SettingsReader:
-    """Checked access to flat settings. Each method raises SettingsError if the setting can't be read."""
+    """Typed, validated access to flat settings.
+
+    Each method that returns a value raises SettingsError for a missing, unreadable or out-of-range setting.
+    """
 
     def __init__(self, values: Mapping[str, str]) -> None:
-        """Read from a mapping of paths to text."""
+        """Create a reader of a mapping from paths to text."""
         self._values = values
 
     def has(self, path: str) -> bool:
@@ -63,45 +69,48 @@
         return path in self._values
 
     def optional(self, path: str, read: Callable[[str], _T], default: _Default) -> _T | _Default:
-        """Return what the method `read` makes of the setting, or the default if it is not present."""
+        """Return `read(path)` for a method `read` of this reader, or the default for a missing setting."""
         return read(path) if path in self._values else default
 
     def text(self, path: str) -> str:
-        """Return the setting as it stands."""
+        """Return the unparsed text of the setting."""
         if path not in self._values:
             raise SettingsError(f"required setting {path} is missing")
         return self._values[path]
 
     def integer(self, path: str, minimum: int = 0) -> int:
-        """Return an integer from the minimum to MAX_INTEGER."""
+        """Return the setting as an integer from `minimum` to MAX_INTEGER."""
         value = self._parse(path, int)
         if value < minimum:
-            raise SettingsError(f"setting {path} is below {minimum}: {shown(value)}")
+            raise SettingsError(f"setting {path} is below {minimum}: {format_for_error(value)}")
         if value > MAX_INTEGER:
-            raise SettingsError(f"setting {path} is above {MAX_INTEGER}: {shown(value)}")
+            raise SettingsError(f"setting {path} is above {MAX_INTEGER}: {format_for_error(value)}")
         return value
 
     def number(self, path: str) -> float:
-        """Return a finite number of at least 0."""
+        """Return the setting as a finite number that is not negative."""
         return self._parse(path, _parse_number)
 
-    def one_of(self, path: str, meanings: Mapping[str, _T]) -> _T:
-        """Return the meaning of a setting that has to be one of these words."""
+    def one_of(self, path: str, values_by_text: Mapping[str, _T]) -> _T:
+        """Return the value that the setting's text has in a table of all valid texts."""
         text = self.text(path)
-        if text not in meanings:
-            raise SettingsError(f"setting {path} is unreadable: {shown(text)}")
-        return meanings[text]
+        if text not in values_by_text:
+            raise SettingsError(f"setting {path} has an unknown value: {format_for_error(text)}")
+        return values_by_text[text]
 
     def flag(self, path: str) -> bool:
-        """Return a boolean."""
+        """Return the setting as a boolean."""
         return self.one_of(path, protocol.FLAGS)
 
-    def words(self, path: str) -> tuple[str, ...]:
-        """Return the words of a comma-separated setting, without empty ones."""
-        return tuple(word for word in self.text(path).split(",") if word)
+    def comma_separated(self, path: str) -> tuple[str, ...]:
+        """Return the items of a comma-separated setting, without empty ones."""
+        return tuple(item for item in self.text(path).split(",") if item)
 
     def entries(self, path: str, read: Callable[[SettingsReader, str], _T]) -> tuple[_T, ...]:
-        """Return what `read` makes of each entry of a list setting; it is given the reader and the path."""
+        """Return the result of `read` for each entry of a list setting.
+
+        `read` gets this reader and the path of the entry.
+        """
         return tuple(read(self, f"{path}.{index}") for index in range(self.integer(f"{path}.count")))
 
     def _parse(self, path: str, parse: Callable[[str], _T]) -> _T:
@@ -109,11 +118,11 @@
         try:
             return parse(text)
         except (ValueError, OverflowError):
-            raise SettingsError(f"setting {path} is unreadable: {shown(text)}") from None
+            raise SettingsError(f"setting {path} is not a valid number: {format_for_error(text)}") from None
 
 
-def shown(value: object) -> str:
-    """Return a value as it stands in an error: short, and without what can't be encoded."""
+def format_for_error(value: object) -> str:
+    """Return the text of a value for an error message, in ASCII and at most MAX_SHOWN_CHARACTERS long."""
     return ascii(value)[:MAX_SHOWN_CHARACTERS]
 
 
@@ -122,8 +131,8 @@
     reader = SettingsReader(values)
     try:
         return _parse_settings(reader)
-    except ValueError as problem:
-        raise _out_of_range(problem, SettingKey) from None
+    except ValueError as error:
+        raise _with_protocol_path(error, SettingKey) from None
 
 
 def _parse_settings(reader: SettingsReader) -> api.Settings:
@@ -140,8 +149,8 @@
         sends_retry_after=reader.flag(SettingKey.SENDS_RETRY_AFTER),
         weight_by_work=reader.one_of(SettingKey.WEIGHT_BY_WORK, protocol.WEIGHT_BY_WORK_VALUES),
         load_report_fields=tuple(
-            protocol.LOAD_REPORT_FIELDS.get(word, word)
-            for word in reader.words(SettingKey.LOAD_REPORT_FIELDS)
+            protocol.LOAD_REPORT_FIELDS.get(name, name)
+            for name in reader.comma_separated(SettingKey.LOAD_REPORT_FIELDS)
         ),
         idle_timeout_ns=reader.integer(SettingKey.IDLE_TIMEOUT_NS),
         key_cooldown_ns=reader.optional(SettingKey.KEY_COOLDOWN_NS, reader.integer, 0),
@@ -169,8 +178,8 @@
             deduplication_window_ns=reader.integer(f"{path}.{RequestClassKey.DEDUPLICATION_WINDOW_NS}"),
             ordered_by_key=reader.optional(f"{path}.{RequestClassKey.ORDERED_BY_KEY}", reader.flag, False),
         )
-    except ValueError as problem:
-        raise _out_of_range(problem, RequestClassKey, f"{path}.") from None
+    except ValueError as error:
+        raise _with_protocol_path(error, RequestClassKey, f"{path}.") from None
 
 
 def _parse_tenants(reader: SettingsReader) -> tuple[api.Tenant, ...]:
@@ -182,8 +191,8 @@
 def _parse_tenant(reader: SettingsReader, path: str) -> api.Tenant:
     try:
         return api.Tenant(quota_ratio=reader.number(f"{path}.{TenantKey.QUOTA_RATIO}"))
-    except ValueError as problem:
-        raise _out_of_range(problem, TenantKey, f"{path}.") from None
+    except ValueError as error:
+        raise _with_protocol_path(error, TenantKey, f"{path}.") from None
 
 
 def _parse_number(text: str) -> float:
@@ -193,10 +202,10 @@
     return value
 
 
-def _out_of_range(problem: ValueError, keys: type[object], prefix: str = "") -> SettingsError:
-    """Add the protocol's path to an error of the decision module, whose text begins with the field's name."""
-    field, _, statement = str(problem).partition(" ")
+def _with_protocol_path(error: ValueError, keys: type[object], prefix: str = "") -> SettingsError:
+    """Add the protocol path to an error of the decision module, whose text begins with the field name."""
+    field, _, statement = str(error).partition(" ")
     key = getattr(keys, field.upper(), None)
     if key is None:
-        return SettingsError(str(problem))
+        return SettingsError(str(error))
     return SettingsError(f"{prefix}{key} ({field}) {statement}")
--- a/moleport/telemetry.py
+++ b/moleport/telemetry.py
@@ -1,7 +1,8 @@
-"""Counters of the node's events, and an optional trace of single events.
+"""Counters of the node's events, and an optional trace of each event.
 
-Counters are always kept; `Telemetry.report` logs them as one JSON object. The trace, one JSON object for each
-event with the ids that it concerns, is logged when the environment variable BALANCER_TRACE is 1.
+The node always counts events; `Telemetry.report` logs all counters as one JSON object. If the environment
+variable BALANCER_TRACE is 1, each event is also logged as a JSON object with the ids of its request, attempt
+or server.
 """
 
 from __future__ import annotations
@@ -16,65 +17,98 @@
 
 
 class Event(StrEnum):
-    """An event of the node; the value is the name of its counter."""
+    """An event of the node; its value is the name of its counter."""
 
     REQUEST_RECEIVED = "request_received"
-    REQUEST_EXPIRED_ON_ARRIVAL = "request_expired_on_arrival"  # its deadline passed before it was read
+    """The node read a request to its end."""
+    REQUEST_EXPIRED_ON_ARRIVAL = "request_expired_on_arrival"
+    """A request's deadline was too near, or had passed, when the node had read it."""
     REQUEST_DUPLICATE_ID = "request_duplicate_id"
-    REQUEST_REJECTED_BY_LIMIT = "request_rejected_by_limit"  # too many active requests
+    """A request had the same id as an active request."""
+    REQUEST_REJECTED_BY_LIMIT = "request_rejected_by_limit"
+    """The node rejected a request because too many requests were active."""
     REQUEST_REJECTED_AT_SHUTDOWN = "request_rejected_at_shutdown"
+    """The node rejected a request because it was shutting down."""
     REQUEST_REJECTED_BY_POLICY = "request_rejected_by_policy"
+    """The policy rejected a request."""
     REQUEST_FAILED_BY_POLICY = "request_failed_by_policy"
-    REQUEST_OVERDUE = (
-        "request_overdue"  # unanswered at its deadline, at shutdown or after a fault of the policy
-    )
-    RESPONSE_FAILED = "response_failed"  # an exception as the client's connection was given a response
-    CLIENT_DISCONNECTED = "client_disconnected"  # before its response
-    CLIENT_TIMED_OUT = "client_timed_out"  # stopped sending within a request
-    CLIENT_CLOSED_IDLE = "client_closed_idle"  # sent no request, or no further one, for too long
-    CLIENT_RECLAIMED = "client_reclaimed"  # closed in favour of another connection
+    """The policy ended a request without a response of a server; the client got 502 or 504."""
+    REQUEST_OVERDUE = "request_overdue"
+    """A request had no response at its deadline, at shutdown or after an exception of the policy."""
+    RESPONSE_FAILED = "response_failed"
+    """An exception occurred when a client connection was given a response."""
+    CLIENT_DISCONNECTED = "client_disconnected"
+    """A client closed its connection, or ended its sending, before its response."""
+    CLIENT_TIMED_OUT = "client_timed_out"
+    """A client stopped sending in the middle of a request."""
+    CLIENT_CLOSED_IDLE = "client_closed_idle"
+    """A client connection was closed because it had no request, or no further one, for too long."""
+    CLIENT_RECLAIMED = "client_reclaimed"
+    """A client connection was closed to leave its slot to another one."""
     ACCEPT_FAILED = "accept_failed"
+    """The system call to accept a client connection failed."""
     ATTEMPT_WRITTEN = "attempt_written"
-    ATTEMPT_FAILED = "attempt_failed"  # with any result but OK; the trace has it
-    ATTEMPT_RETRIED = "attempt_retried"  # any but the first of a request; also counted as written
+    """An attempt was written to a server."""
+    ATTEMPT_FAILED = "attempt_failed"
+    """An attempt ended with a result other than OK; the trace contains the result."""
+    ATTEMPT_RETRIED = "attempt_retried"
+    """An attempt other than the first of its request was written; ATTEMPT_WRITTEN counts it too."""
     ATTEMPT_STOPPED_CLIENT_DISCONNECTED = "attempt_stopped_client_disconnected"
-    ATTEMPT_STOPPED_SERVER_REMOVED = "attempt_stopped_server_removed"  # or draining
+    """An attempt was not written because its client had disconnected."""
+    ATTEMPT_STOPPED_SERVER_REMOVED = "attempt_stopped_server_removed"
+    """An attempt was not written because its server was draining or removed."""
     ATTEMPT_STOPPED_TOO_LATE = "attempt_stopped_too_late"
-    ATTEMPT_STOPPED_LIMIT = "attempt_stopped_limit"  # too many attempts, or the request is answered
-    ATTEMPT_DELAYED_AFTER_STALL = "attempt_delayed_after_stall"  # until sockets are read again
+    """An attempt was not written because its time, or the policy's write deadline, had passed."""
+    ATTEMPT_STOPPED_LIMIT = "attempt_stopped_limit"
+    """An attempt was not started: too many attempts, or the request already had its response."""
+    ATTEMPT_DELAYED_AFTER_STALL = "attempt_delayed_after_stall"
+    """An attempt waited after a stall of the event loop until sockets were read again."""
     ENDPOINT_EJECTED = "endpoint_ejected"
+    """The policy ejected an endpoint."""
     ENDPOINT_REINSTATED = "endpoint_reinstated"
-    CONNECT_FAILED_LOCALLY = "connect_failed_locally"  # a fault of the node's machine
+    """The policy ended the ejection of an endpoint."""
+    CONNECT_FAILED_LOCALLY = "connect_failed_locally"
+    """A connection to a server failed through a fault of the node's own machine."""
     CONNECT_FAILED = "connect_failed"
-    POLICY_FAILED = "policy_failed"  # an exception as it handled an event
-    LOOP_HELD = "loop_held"  # the event loop was stalled
+    """A connection to a server failed through a fault of the server."""
+    POLICY_FAILED = "policy_failed"
+    """The policy raised an exception when it handled an event."""
+    LOOP_HELD = "loop_held"
+    """The event loop was stalled, as in a process that was stopped."""
     WATCH_FAILED = "watch_failed"
+    """A watch or poll of the endpoint list failed."""
     RELOAD_APPLIED = "reload_applied"
-    RELOAD_RETRIED = "reload_retried"  # the configuration file was not usable yet
+    """A new configuration was read and passed to the node."""
+    RELOAD_RETRIED = "reload_retried"
+    """The configuration file was not usable yet, so another read was scheduled."""
     RELOAD_ABANDONED = "reload_abandoned"
+    """The configuration file remained unusable, so the node kept its configuration."""
 
 
 class Telemetry:
-    """The counters and the trace of one node."""
+    """Event counters, invariant violation counters and the trace of one node."""
 
     def __init__(self, trace: bool | None = None) -> None:
-        """Trace single events if told to, or by default if the environment says so."""
+        """Create empty counters.
+
+        `trace` switches the trace on or off; by default the variable BALANCER_TRACE decides.
+        """
         self.counters: Counter[str] = Counter()
         self.violations: Counter[str] = Counter()
-        self._trace = os.environ.get("BALANCER_TRACE") == "1" if trace is None else trace
+        self._is_tracing = os.environ.get("BALANCER_TRACE") == "1" if trace is None else trace
 
     def count(self, event: Event, **ids: object) -> None:
-        """Count an event; the ids go to the trace."""
+        """Count an event, and log it with `ids` if the trace is on."""
         self.counters[event] += 1
-        if self._trace:
+        if self._is_tracing:
             log.info("trace %s", json.dumps({"event": event, **ids}, default=str))
 
     def violate(self, invariant: str, **ids: object) -> None:
-        """Count and log an invariant that does not hold, which is a fault of the node itself."""
+        """Count and log the violation of an invariant, which is a fault of the node itself."""
         self.violations[invariant] += 1
         log.error("invariant violated: %s", json.dumps({"invariant": invariant, **ids}, default=str))
 
     def report(self) -> None:
-        """Log all counters."""
+        """Log all counters as one JSON object."""
         counters = dict(sorted(self.counters.items()))
         log.info("counters %s", json.dumps({"counters": counters, "violations": dict(self.violations)}))
--- a/moleport/units.py
+++ b/moleport/units.py
@@ -1,7 +1,10 @@
-"""Nanoseconds in other units of time."""
+"""Conversion factors between nanoseconds and other units of time."""
 
 from __future__ import annotations
 
-NS_PER_SECOND = 1e9  # a float, for divisions that give seconds
+NS_PER_SECOND = 1e9
+"""Nanoseconds per second, as a float: it divides times to give seconds."""
 NS_PER_MS = 1_000_000
+"""Nanoseconds per millisecond."""
 NS_PER_US = 1_000
+"""Nanoseconds per microsecond."""
