--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: real node processes under overlapping faults, and the rules as its oracle."""
+"""A randomized fault soak: it runs real node processes under overlapping faults and checks the rules."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,7 +1,8 @@
-"""`python -m soak`: runs seeds of the fault soak and prints a line of JSON for each; non-zero on a violation.
+"""Runs seeds of the fault soak by `python -m soak`, and prints a line of JSON for each.
 
-A seed decides the faults, not what the machine's scheduler makes of them: a failing seed is played again to
-see how often it fails, and its logs are kept with --keep.
+The exit code is not zero if a rule was violated. A seed determines the faults, but not how the scheduler of
+the machine interleaves the processes: run a failing seed again to see how often it fails, and keep its logs
+with --keep.
 """
 
 from __future__ import annotations
@@ -24,27 +25,27 @@
 
 from soak.clients import Client
 from soak.nodes import NodeProcess
-from soak.oracle import Record, Violation
-from soak.servers import Agent, FaultProxy, Server
+from soak.oracle import Observations, Violation
+from soak.servers import DiscoveryAgent, FaultProxy, Server
 
-MS = 1_000_000  # ns
-SILENCE_NOTIFIED_SECONDS = 6.0  # after a watch falls silent, what it misses counts as notified
-HEARTBEAT_SECONDS = 0.005  # s, of the driver, which so measures its own lateness
-ERRNOS = (12, 23, 24, 99, 100, 101, 103, 105, 113)  # ENOMEM to EHOSTUNREACH, as a node's own faults
-MAX_END_SECONDS = 30.0  # s after the load
-CROWDED_RUNS_RATIO = 0.3
-CROWD_CLIENT_COUNT = 200  # of a node with 256 descriptors
-STEPS_MS = (-3_600_000, -2_000, 2_000, 3_600_000)
+NS_PER_MS = 1_000_000
+SILENCE_NOTIFIED_SECONDS = 6.0  # missed changes count as notified this long after a watch became silent
+HEARTBEAT_SECONDS = 0.005  # period at which the driver measures the delay of its own event loop
+ERROR_NUMBERS = (12, 23, 24, 99, 100, 101, 103, 105, 113)  # ENOMEM to EHOSTUNREACH, as local faults of a node
+MAX_END_SECONDS = 30.0  # time after the load within which a run must end
+CROWDED_RUNS_RATIO = 0.3  # ratio of the seeds whose runs have crowds of idle clients
+CROWD_CLIENT_COUNT = 200  # idle clients of a crowd, at a node with 256 descriptors
+CLOCK_STEPS_MS = (-3_600_000, -2_000, 2_000, 3_600_000)
 
 
 def request_class(name: str, semantics: str) -> dict[str, Any]:
-    """Return a request class in the protocol's words."""
+    """Return a request class with the keys of the protocol."""
     return {
-        "Aim": 1500 * MS,
-        "Deadline": 2500 * MS,
+        "Aim": 1500 * NS_PER_MS,
+        "Deadline": 2500 * NS_PER_MS,
         "Group": "all",
         "LateShare": 0.2,
-        "MemorySpan": 1000 * MS,
+        "MemorySpan": 1000 * NS_PER_MS,
         "Name": name,
         "Semantics": semantics,
         "Stream": False,
@@ -52,14 +53,14 @@
     }
 
 
-def configuration(nodes: int) -> dict[str, Any]:
-    """Return the part of the configuration that all nodes share."""
+def shared_configuration(node_count: int) -> dict[str, Any]:
+    """Return the part of the configuration that is the same for all nodes."""
     settings = {
         "Contract": {
-            "AskWithin": 10_000 * MS,
-            "Cold": 1500 * MS,
+            "AskWithin": 10_000 * NS_PER_MS,
+            "Cold": 1500 * NS_PER_MS,
             "ColdShare": 0.4,
-            "StopSendingWithin": 500 * MS,
+            "StopSendingWithin": 500 * NS_PER_MS,
             "FallMultiple": 4.0,
         },
         "Feedback": {"Fields": [], "How": "none"},
@@ -70,14 +71,14 @@
         "MembershipMode": "pushed",
         "MyZone": 0,
         "Limits": {
-            "DialTimeout": 500 * MS,
-            "IdleClose": 3000 * MS,
-            "MaxRetryAfter": 300 * MS,
+            "DialTimeout": 500 * NS_PER_MS,
+            "IdleClose": 3000 * NS_PER_MS,
+            "MaxRetryAfter": 300 * NS_PER_MS,
             "OpenCap": 2000,
             "RetryAfter": True,
             "SendCap": 3,
         },
-        "PeersTotal": nodes,
+        "PeersTotal": node_count,
         "WorthBy": "request",
     }
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": 256}
@@ -85,27 +86,27 @@
 
 
 class Soak:
-    """One seed: nodes, servers and clients, and the faults that overlap."""
+    """The run of one seed: nodes, servers and clients, and overlapping faults."""
 
-    def __init__(self, seed: int, nodes: int, span: float, folder: Path) -> None:
-        self.record = Record()
-        self.faults: Counter[str] = Counter()
+    def __init__(self, seed: int, node_count: int, load_seconds: float, folder: Path) -> None:
+        self.observations = Observations()
+        self.fault_counts: Counter[str] = Counter()
         self._random = random.Random(seed)
-        self._span = span
+        self._load_seconds = load_seconds
         self._has_crowds = self._random.random() < CROWDED_RUNS_RATIO
-        self._servers = [Server(f"s-{n}", self.record, seed + n) for n in range(max(6, nodes))]
+        self._servers = [Server(f"s-{n}", self.observations, seed + n) for n in range(max(6, node_count))]
         self._proxies = [FaultProxy(server) for server in self._servers]
-        document = configuration(nodes)
-        self._nodes = [NodeProcess(f"n{n}", folder, document, self.record) for n in range(nodes)]
+        document = shared_configuration(node_count)
+        self._nodes = [NodeProcess(f"n{n}", folder, document, self.observations) for n in range(node_count)]
         self._document = document
         self._version = 10
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._busy: set[str] = set()  # nodes that are being restarted or reloaded
-        self._offset_ms = 0
+        self._fault_tasks: set[asyncio.Task[None]] = set()
+        self._busy_nodes: set[str] = set()  # names of nodes at which a fault that excludes others is active
+        self._wall_offset_ms = 0
 
-    # The list.
+    # The endpoint list.
 
-    def _entry(self, proxy: FaultProxy) -> dict[str, Any]:
+    def _list_entry(self, proxy: FaultProxy) -> dict[str, Any]:
         server = proxy.server
         return {
             "id": server.name,
@@ -122,69 +123,74 @@
         self._version += 1
         for node in self._nodes:
             for agent in node.agents:
-                self._inform(agent, self._entry(proxy))
+                self._send_list(agent, self._list_entry(proxy))
 
-    def _inform(self, agent: Agent, *changed: dict[str, Any]) -> None:
-        if not agent.down:
-            complete = [self._entry(proxy) for proxy in self._proxies if proxy.server.state != "Gone"]
-            agent.hold(self._version, complete, list(changed))
+    def _send_list(self, agent: DiscoveryAgent, *changed: dict[str, Any]) -> None:
+        if not agent.is_down:
+            complete = [self._list_entry(proxy) for proxy in self._proxies if proxy.server.state != "Gone"]
+            agent.publish(self._version, complete, list(changed))
 
     def _notified_at(self, node: NodeProcess, now: float) -> float:
-        """Return when a change that is published now counts as notified to a node."""
-        agent = node.agents[node.agent]
-        at = max(now, node.notified_from)
+        """Return the monotonic time at which a change published at `now` counts as notified to a node."""
+        agent = node.agents[node.agent_index]
+        notified_at = max(now, node.notified_from)
         if agent.silent_since is not None:
-            at = max(at, agent.silent_since + SILENCE_NOTIFIED_SECONDS)
-        return at
+            notified_at = max(notified_at, agent.silent_since + SILENCE_NOTIFIED_SECONDS)
+        return notified_at
 
-    # The faults.
+    # The faults, in methods named like their entries in the report.
 
     async def _retire(self, proxy: FaultProxy) -> None:
-        """Drain and remove a server, and bring it back in slow start."""
+        """Drain and remove a server, and add it again in slow start."""
         server = proxy.server
         now = time.monotonic()
         notified_at = {node.name: self._notified_at(node, now) for node in self._nodes}
-        down = {node.name for node in self._nodes if node.agents[node.agent].down}
+        uninformed_nodes = {node.name for node in self._nodes if node.agents[node.agent_index].is_down}
         server.state = "Terminating"
         self._publish(proxy)
         await asyncio.sleep(self._random.uniform(1.0, 2.5))
         server.state = "Gone"
         self._publish(proxy)
         await asyncio.sleep(0.7)
-        server.stop_all()
-        until = time.monotonic()
+        server.reset_connections()
+        removal_end = time.monotonic()
         for node in self._nodes:
-            if node.name not in down:
-                self.record.removals.append(
-                    (node.name, server.name, max(notified_at[node.name], node.notified_from), until)
+            if node.name not in uninformed_nodes:
+                self.observations.removals.append(
+                    (node.name, server.name, max(notified_at[node.name], node.notified_from), removal_end)
                 )
-        server.state, server.started_ms = "Ready", time.time_ns() // MS + self._offset_ms
+        server.state, server.started_ms = "Ready", time.time_ns() // NS_PER_MS + self._wall_offset_ms
         self._publish(proxy)
 
     async def _misbehave(self, proxy: FaultProxy) -> None:
-        proxy.server.behaviour = self._random.choice(Server.behaviours[1:])
+        """Give a server a random behaviour other than serving, for a while."""
+        proxy.server.behaviour = self._random.choice(Server.BEHAVIOURS[1:])
         await asyncio.sleep(self._random.uniform(0.5, 3.0))
         proxy.server.behaviour = "serve"
 
     async def _cut(self, proxy: FaultProxy) -> None:
+        """Inject a random proxy fault for a while, then reset the server's connections."""
         proxy.fault = self._random.choice(("silent", "refuse"))
         await asyncio.sleep(self._random.uniform(0.3, 2.0))
         proxy.fault = ""
-        proxy.server.stop_all()
+        proxy.server.reset_connections()
 
     async def _hold(self, node: NodeProcess) -> None:
+        """Stop and continue a node's process up to three times."""
         for _ in range(self._random.randrange(1, 4)):
             await node.hold(self._random.uniform(0.03, 0.4))
             await asyncio.sleep(self._random.uniform(0.0, 0.2))
 
     async def _restart(self, node: NodeProcess) -> None:
+        """Restart a node by SIGTERM, or by SIGKILL in three of ten cases."""
         await node.restart(kill=self._random.random() < 0.3, random=self._random)
 
     async def _reload(self, node: NodeProcess) -> None:
+        """Move a node to its other agent, in half of the cases by a file that is half written at first."""
         await node.reload(half_written=self._random.random() < 0.5, random=self._random)
 
     async def _crowd(self, node: NodeProcess) -> None:
-        """Idle clients take the node's descriptors for a while."""
+        """Fill a node's descriptors with connections of idle clients for a while."""
         writers = []
         for _ in range(CROWD_CLIENT_COUNT):
             with suppress(OSError):
@@ -194,68 +200,75 @@
             writer.close()
 
     async def _fail_calls(self, node: NodeProcess) -> None:
+        """Make a node's accept or connect calls fail with a random error number for a while."""
         field = self._random.choice(("accept_errno", "connect_errno"))
-        node.faults.set(**{field: self._random.choice(ERRNOS)})
+        node.faults.set(**{field: self._random.choice(ERROR_NUMBERS)})
         await asyncio.sleep(self._random.uniform(0.05, 0.5))
         node.faults.set(**{field: 0})
 
     async def _step_clocks(self, _: NodeProcess) -> None:
-        self._offset_ms += self._random.choice(STEPS_MS)
+        """Step the wall clocks of all nodes by the same random time."""
+        self._wall_offset_ms += self._random.choice(CLOCK_STEPS_MS)
         for node in self._nodes:
-            node.faults.set(wall_offset_ms=self._offset_ms)
+            node.faults.set(wall_offset_ms=self._wall_offset_ms)
 
     async def _lose_agent(self, node: NodeProcess) -> None:
-        agent = node.agents[node.agent]
+        """Reset the watches of a node's agent, silence them, or shut the agent down for a while."""
+        agent = node.agents[node.agent_index]
         fault = self._random.choice(("drop", "silent", "down"))
         if fault == "drop":
-            agent.drop()
+            agent.reset_watches()
         elif fault == "silent":
-            agent.fall_silent()
+            agent.silence_watches()
         else:
-            agent.down = True
-            agent.drop()
+            agent.is_down = True
+            agent.reset_watches()
             await asyncio.sleep(self._random.uniform(0.5, 2.0))
-            agent.down = False
-            self._inform(agent)
-
-    async def _exclusively(self, node: NodeProcess, what: Callable[[NodeProcess], Awaitable[None]]) -> None:
-        """Inject a fault unless another that excludes it is under way at the node."""
-        if node.name not in self._busy:
-            self._busy.add(node.name)
-            await what(node)
-            self._busy.discard(node.name)
+            agent.is_down = False
+            self._send_list(agent)
+
+    async def _run_exclusively(
+        self, node: NodeProcess, fault: Callable[[NodeProcess], Awaitable[None]]
+    ) -> None:
+        """Inject a fault at a node unless another exclusive fault is active there."""
+        if node.name not in self._busy_nodes:
+            self._busy_nodes.add(node.name)
+            await fault(node)
+            self._busy_nodes.discard(node.name)
 
     def _inject_fault(self) -> None:
+        """Start a random fault at a random node or server, without waiting for its end."""
         node = self._random.choice(self._nodes)
-        server = self._random.choice(self._proxies)
+        proxy = self._random.choice(self._proxies)
         faults: list[tuple[str, Callable[[], Coroutine[Any, Any, None]]]] = [
-            ("retire", lambda: self._retire(server)),
-            ("misbehave", lambda: self._misbehave(server)),
-            ("misbehave", lambda: self._misbehave(server)),
-            ("cut", lambda: self._cut(server)),
+            ("retire", lambda: self._retire(proxy)),
+            ("misbehave", lambda: self._misbehave(proxy)),
+            ("misbehave", lambda: self._misbehave(proxy)),
+            ("cut", lambda: self._cut(proxy)),
             ("hold", lambda: self._hold(node)),
             ("hold", lambda: self._hold(node)),
-            ("restart", lambda: self._exclusively(node, self._restart)),
-            ("reload", lambda: self._exclusively(node, self._reload)),
+            ("restart", lambda: self._run_exclusively(node, self._restart)),
+            ("reload", lambda: self._run_exclusively(node, self._reload)),
             ("fail_calls", lambda: self._fail_calls(node)),
             ("fail_calls", lambda: self._fail_calls(node)),
             ("step_clocks", lambda: self._step_clocks(node)),
-            ("lose_agent", lambda: self._exclusively(node, self._lose_agent)),
+            ("lose_agent", lambda: self._run_exclusively(node, self._lose_agent)),
         ]
         if self._has_crowds:
             faults.append(("crowd", lambda: self._crowd(node)))
         name, fault = self._random.choice(faults)
-        if name == "retire" and server.server.state != "Ready":
+        if name == "retire" and proxy.server.state != "Ready":
             return
-        self.faults[name] += 1
+        self.fault_counts[name] += 1
         task = asyncio.create_task(fault())
-        self._tasks.add(task)
+        self._fault_tasks.add(task)
 
-    async def _measure_slack(self) -> None:
+    async def _measure_lag(self) -> None:
+        """Record the longest delay of the driver's event loop."""
         while True:
             due = time.monotonic() + HEARTBEAT_SECONDS
             await asyncio.sleep(HEARTBEAT_SECONDS)
-            self.record.slack = max(self.record.slack, time.monotonic() - due)
+            self.observations.max_lag_seconds = max(self.observations.max_lag_seconds, time.monotonic() - due)
 
     # The run.
 
@@ -265,62 +278,75 @@
             node.kill()
 
     async def run(self) -> list[Violation]:
-        """Play the seed, and return the violations of all rules."""
+        """Run the seed, and return the violations of all rules."""
         for server, proxy in zip(self._servers, self._proxies, strict=True):
             await server.start()
             await proxy.start()
-        known = [self._entry(proxy) for proxy in self._proxies]
-        self._document["known"] = {"version": 5, "full": True, "servers": known}  # outdated, as time goes on
+        entries = [self._list_entry(proxy) for proxy in self._proxies]
+        # Nodes that restart later read this list too, so it is outdated then.
+        self._document["known"] = {"version": 5, "full": True, "servers": entries}
         for node in self._nodes:
             for agent in node.agents:
                 await agent.start()
-                self._inform(agent)
+                self._send_list(agent)
         await asyncio.gather(*(node.start() for node in self._nodes))
-        beat = asyncio.create_task(self._measure_slack())
-        end = time.monotonic() + self._span
-        clients = [Client(node, self.record, self._random.randrange(1 << 30)) for node in self._nodes * 8]
+        lag_task = asyncio.create_task(self._measure_lag())
+        end = time.monotonic() + self._load_seconds
+        clients = [
+            Client(node, self.observations, self._random.randrange(1 << 30)) for node in self._nodes * 8
+        ]
         client_tasks = [asyncio.create_task(client.run(end)) for client in clients]
         while time.monotonic() < end - 4.0:
             await asyncio.sleep(self._random.uniform(0.05, 0.4))
             self._inject_fault()
-        await asyncio.gather(*self._tasks)
+        await asyncio.gather(*self._fault_tasks)
         await asyncio.gather(*client_tasks)
         await asyncio.gather(*(node.end() for node in self._nodes))
-        beat.cancel()
+        lag_task.cancel()
         for node in self._nodes:
             node.read_log()
-        own = [violation for node in self._nodes for violation in node.violations]
-        slow = sum(client.slow_invalid_client_count for client in clients)
-        if slow:
-            own.append(Violation("bad client", "", f"{slow} got neither an error nor a close in time"))
-        return own + list(self.record.violations())
+        violations = [violation for node in self._nodes for violation in node.violations]
+        slow_count = sum(client.slow_invalid_client_count for client in clients)
+        if slow_count:
+            violations.append(
+                Violation(
+                    "bad client",
+                    "",
+                    f"{slow_count} invalid clients got neither a response nor a close in time",
+                )
+            )
+        return violations + list(self.observations.violations())
 
     def report(self) -> dict[str, Any]:
-        """Return the figures of the run."""
+        """Return the figures of the run by their keys in the printed JSON."""
         statuses = Counter(
-            str(request.status) for request in self.record.requests.values() if request.left is None
+            str(request.status)
+            for request in self.observations.requests.values()
+            if request.disconnected_at is None
         )
         return {
-            "requests": len(self.record.requests),
+            "requests": len(self.observations.requests),
             "statuses": dict(statuses),
-            "faults": dict(self.faults),
-            "attempts": sum(map(len, self.record.attempts.values())),
-            "slack": round(self.record.slack, 3),
+            "faults": dict(self.fault_counts),
+            "attempts": sum(map(len, self.observations.attempts.values())),
+            "slack": round(self.observations.max_lag_seconds, 3),
         }
 
 
-def _report_fault(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Handlers that are cancelled as the run ends are no faults."""
+def _handle_loop_exception(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Report an exception in a callback, except the cancellation of handlers at the end of the run."""
     if not isinstance(context.get("exception"), asyncio.CancelledError):
         loop.default_exception_handler(context)
 
 
-async def play(seed: int, nodes: int, span: float, folder: Path) -> tuple[dict[str, Any], list[Violation]]:
-    """Play one seed; return its report and its violations."""
-    asyncio.get_running_loop().set_exception_handler(_report_fault)
-    soak = Soak(seed, nodes, span, folder)
+async def run_seed(
+    seed: int, node_count: int, load_seconds: float, folder: Path
+) -> tuple[dict[str, Any], list[Violation]]:
+    """Run one seed; return its report and its violations."""
+    asyncio.get_running_loop().set_exception_handler(_handle_loop_exception)
+    soak = Soak(seed, node_count, load_seconds, folder)
     try:
-        async with asyncio.timeout(span + MAX_END_SECONDS):
+        async with asyncio.timeout(load_seconds + MAX_END_SECONDS):
             violations = await soak.run()
     finally:
         soak.kill_all()
@@ -328,27 +354,29 @@
 
 
 def main() -> int:
-    """Play the seeds that the command line names; return the exit code."""
+    """Run the seeds that the command line names; return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m soak", description=__doc__)
     parser.add_argument("--seeds", type=int, nargs=2, default=(1, 3), metavar=("FIRST", "LAST"))
-    parser.add_argument("--nodes", type=int, default=10, help="real node processes (10)")
-    parser.add_argument("--span", type=float, default=20.0, help="seconds of load for each seed (20)")
-    parser.add_argument("--keep", type=Path, help="a folder for the nodes' logs")
+    parser.add_argument("--nodes", type=int, default=10, help="number of node processes (default: 10)")
+    parser.add_argument(
+        "--span", type=float, default=20.0, help="seconds of load for each seed (default: 20)"
+    )
+    parser.add_argument("--keep", type=Path, help="folder to copy the logs of the nodes to")
     options = parser.parse_args()
-    failed = 0
+    failed_seed_count = 0
     for seed in range(options.seeds[0], options.seeds[1] + 1):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            report, violations = runner.run(play(seed, options.nodes, options.span, folder))
-        rules = Counter(violation.rule for violation in violations)
-        print(json.dumps({"seed": seed, "violations": dict(rules), **report}), flush=True)
+            report, violations = runner.run(run_seed(seed, options.nodes, options.span, folder))
+        violation_counts = Counter(violation.rule for violation in violations)
+        print(json.dumps({"seed": seed, "violations": dict(violation_counts), **report}), flush=True)
         for violation in violations[:20]:
-            print(f"  {violation.rule} {violation.request}: {violation.detail}", file=sys.stderr)
-        failed += bool(violations)
+            print(f"  {violation.rule} {violation.subject}: {violation.detail}", file=sys.stderr)
+        failed_seed_count += bool(violations)
         if options.keep:
             shutil.copytree(folder, options.keep / str(seed), dirs_exist_ok=True)
         shutil.rmtree(folder)
-    return 1 if failed else 0
+    return 1 if failed_seed_count else 0
 
 
 if __name__ == "__main__":
--- a/soak/nodes.py
+++ b/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Real node processes of the soak: how they are started, ended and looked after."""
+"""Starts, restarts, stops, reloads and ends the real node processes of the soak, and reads their logs."""
 
 from __future__ import annotations
 
@@ -14,63 +14,65 @@
 from random import Random
 from typing import Any
 
-from soak.oracle import Record, Violation
-from soak.servers import Agent
+from soak.oracle import Observations, Violation
+from soak.servers import DiscoveryAgent
 from soak.shims import ROOT, Faults
 
-LISTEN_PORTS = range(15_000, 30_000)  # below those that Linux gives to connections
-MAX_READY_SECONDS = 10.0  # s
-MAX_DEADLINE_SECONDS = 3.0  # a longer deadline is taken for this
-KILL_DELAY_SECONDS = 0.7  # from the end of the longest deadline to SIGKILL, at least
-NEW_CONNECTIONS_SECONDS = 0.3  # after SIGTERM in which the front sends new connections
-MAX_SIGNAL_GAP_SECONDS = 0.005  # in a series
-MAX_SERIES_SIGNAL_COUNT = 4
-NS_PER_S = 10**9
-ENDING_FAULTS = ("Traceback", "invariant violated", "the policy failed", "action failed")
+LISTEN_PORTS = range(15_000, 30_000)  # below the ephemeral ports that Linux gives to outgoing connections
+MAX_READY_SECONDS = 10.0  # time from the start of a node within which it must be ready
+MAX_DEADLINE_SECONDS = 3.0  # the platform waits for no longer deadline when it ends a node
+KILL_DELAY_SECONDS = 0.7  # shortest time from the end of the longest deadline to SIGKILL
+NEW_CONNECTIONS_SECONDS = 0.3  # time after SIGTERM for which clients still open new connections
+MAX_SIGNAL_GAP_SECONDS = 0.005  # longest pause between two signals of a series
+SIGNAL_COUNT_BOUND = 4  # exclusive upper bound for the number of signals in a series
+NS_PER_SECOND = 10**9
+LOGGED_FAULTS = ("Traceback", "invariant violated", "the policy failed", "action failed")
 
 
 def free_port() -> int:
-    """One that no connection is given for its own end: a node keeps it while it is down."""
+    """Return a free port outside the ephemeral range, so that no client takes it while its node is down."""
     while True:
         port = secrets.randbelow(LISTEN_PORTS.stop - LISTEN_PORTS.start) + LISTEN_PORTS.start
-        with socket.socket() as one, suppress(OSError):
-            one.bind(("127.0.0.1", port))
+        with socket.socket() as probe, suppress(OSError):
+            probe.bind(("127.0.0.1", port))
             return port
 
 
 class NodeProcess:
-    """One node, under the same name and address through all its restarts."""
+    """A node whose name and address stay the same when its process is restarted."""
 
-    def __init__(self, name: str, folder: Path, document: dict[str, Any], record: Record) -> None:
+    def __init__(self, name: str, folder: Path, document: dict[str, Any], observations: Observations) -> None:
         self.name = name
         self.port = free_port()
-        self.agents = [Agent(), Agent()]
-        self.agent = 0  # which of them its configuration names
-        self.is_up = False  # the front sends it new connections
-        self.notified_from = 0.0  # monotonic s; no update counts as notified before
+        self.agents = [DiscoveryAgent(), DiscoveryAgent()]
+        self.agent_index = 0  # index of the agent that the node's configuration names
+        self.is_up = False  # whether clients open new connections to the node
+        self.notified_from = 0.0  # monotonic seconds; no update counts as notified to the node before
         self.violations: list[Violation] = []
         self._folder = folder
         self._document = document
-        self._record = record
-        self._log = folder / f"{name}.log"
-        self._path = folder / f"{name}.json"
+        self._observations = observations
+        self._log_path = folder / f"{name}.log"
+        self._config_path = folder / f"{name}.json"
         self.faults = Faults(folder / f"{name}.faults")
         self._process: asyncio.subprocess.Process | None = None
-        deadlines = [one["Deadline"] / NS_PER_S for one in document["settings"]["Grades"]]
+        deadlines = [entry["Deadline"] / NS_PER_SECOND for entry in document["settings"]["Grades"]]
         self._kill_after_s = min(MAX_DEADLINE_SECONDS, max(deadlines)) + KILL_DELAY_SECONDS
 
-    def configuration(self) -> str:
-        """Return the node's configuration file for its current agent."""
-        agent = f"127.0.0.1:{self.agents[self.agent].port}"
-        listen = f"127.0.0.1:{self.port}"
-        return json.dumps(self._document | {"name": self.name, "listen": listen, "discovery": agent})
+    def configuration_text(self) -> str:
+        """Return the content of the node's configuration file, with its current agent."""
+        agent_address = f"127.0.0.1:{self.agents[self.agent_index].port}"
+        listen_address = f"127.0.0.1:{self.port}"
+        return json.dumps(
+            self._document | {"name": self.name, "listen": listen_address, "discovery": agent_address}
+        )
 
     async def start(self) -> None:
-        """Start the process, and wait until `/up` answers 200; not in time is a violation."""
-        self._path.write_text(self.configuration())
+        """Start the process and wait until `/up` answers 200; record a violation if this takes too long."""
+        self._config_path.write_text(self.configuration_text())
         self.notified_from = time.monotonic()
-        environment = {**os.environ, "BALANCER_CONFIG": str(self._path), "BALANCER_TRACE": "1"}
-        with self._log.open("ab") as log:
+        environment = {**os.environ, "BALANCER_CONFIG": str(self._config_path), "BALANCER_TRACE": "1"}
+        with self._log_path.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 *self.faults.command(),
                 cwd=ROOT,
@@ -80,115 +82,126 @@
             )
         end = time.monotonic() + MAX_READY_SECONDS
         while time.monotonic() < end and self._process.returncode is None:
-            if await self._answers_up():
+            if await self._is_ready():
                 self.is_up = True
                 return
             await asyncio.sleep(0.05)
-        self.violations.append(Violation("crash", self.name, "not ready in time"))
+        self.violations.append(
+            Violation("crash", self.name, f"exited, or not ready within {MAX_READY_SECONDS} s")
+        )
 
-    async def _answers_up(self) -> bool:
+    async def _is_ready(self) -> bool:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(b"GET /up HTTP/1.1\r\nHost: service.internal\r\n\r\n")
-            line = await asyncio.wait_for(reader.readline(), 1.0)
+            status_line = await asyncio.wait_for(reader.readline(), 1.0)
             writer.close()
         except (OSError, TimeoutError):
             return False
-        return b" 200 " in line
+        return b" 200 " in status_line
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal if the process runs."""
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal if the process is running."""
         if self._process is not None and self._process.returncode is None:
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
 
-    async def send_series(self, numbers: list[signal.Signals], random: Random) -> None:
-        """Send signals a few ms apart."""
-        for number in numbers:
-            self.send(number)
+    async def send_signals(self, signals: list[signal.Signals], random: Random) -> None:
+        """Send signals with random pauses of up to MAX_SIGNAL_GAP_SECONDS."""
+        for signal_number in signals:
+            self.send_signal(signal_number)
             await asyncio.sleep(random.uniform(0.0, MAX_SIGNAL_GAP_SECONDS))
 
     async def restart(self, kill: bool, random: Random) -> None:
-        """Restart the node as planned, or kill it and start it again.
+        """Restart the node by SIGTERM, or by SIGKILL if `kill` is true.
 
-        SIGTERM comes among other signals. Clients use the connections that they have until the process ends.
+        Other signals arrive before and after SIGTERM. Clients use their open connections until the process
+        ends.
         """
         process = self._process
         assert process is not None
         if kill:
             self.is_up = False
-            self._record.killed[self.name].append(time.monotonic())
-            self.send(signal.SIGKILL)
+            self._observations.kill_times[self.name].append(time.monotonic())
+            self.send_signal(signal.SIGKILL)
         else:
-            before = [signal.SIGHUP] * random.randrange(MAX_SERIES_SIGNAL_COUNT)
-            behind = random.choices(
-                (signal.SIGTERM, signal.SIGHUP), k=random.randrange(MAX_SERIES_SIGNAL_COUNT)
-            )
-            await self.send_series([*before, signal.SIGTERM, *behind], random)
+            before = [signal.SIGHUP] * random.randrange(SIGNAL_COUNT_BOUND)
+            after = random.choices((signal.SIGTERM, signal.SIGHUP), k=random.randrange(SIGNAL_COUNT_BOUND))
+            await self.send_signals([*before, signal.SIGTERM, *after], random)
             await asyncio.sleep(NEW_CONNECTIONS_SECONDS)
             self.is_up = False
         await self._wait_for_end(process)
         if not kill and process.returncode != 0:
-            self.violations.append(Violation("crash", self.name, f"ended with {process.returncode}"))
+            self.violations.append(
+                Violation("crash", self.name, f"exit code {process.returncode} after SIGTERM")
+            )
         self.faults.set(accept_errno=0, connect_errno=0)
         await self.start()
 
-    async def hold(self, span: float) -> None:
-        """Stop the process for `span` s."""
-        self.send(signal.SIGSTOP)
-        await asyncio.sleep(span)
-        self.send(signal.SIGCONT)
+    async def hold(self, seconds: float) -> None:
+        """Stop the process by SIGSTOP, and continue it after some seconds."""
+        self.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(seconds)
+        self.send_signal(signal.SIGCONT)
 
     async def reload(self, half_written: bool, random: Random) -> None:
-        """Move the node to its other agent by a new configuration; the old one ends its watches later.
+        """Move the node to its other agent by a new configuration; the old agent resets its watches later.
 
-        Some reloads come as a series of signals.
+        One to three SIGHUP signals request the reload. With `half_written`, the file is incomplete when they
+        are sent, and becomes complete shortly after.
         """
-        old = self.agents[self.agent]
-        self.agent = 1 - self.agent
-        text = self.configuration()
+        old_agent = self.agents[self.agent_index]
+        self.agent_index = 1 - self.agent_index
+        text = self.configuration_text()
         self.notified_from = time.monotonic() + 4.0
         if half_written:
-            self._path.write_text(text[: len(text) // 2])
+            self._config_path.write_text(text[: len(text) // 2])
         else:
-            self._path.write_text(text)
-        await self.send_series([signal.SIGHUP] * random.randrange(1, MAX_SERIES_SIGNAL_COUNT), random)
+            self._config_path.write_text(text)
+        await self.send_signals([signal.SIGHUP] * random.randrange(1, SIGNAL_COUNT_BOUND), random)
         if half_written:
             await asyncio.sleep(0.2)
-            self._path.write_text(text)
+            self._config_path.write_text(text)
         await asyncio.sleep(1.5)
-        old.drop()
+        old_agent.reset_watches()
 
     def kill(self) -> None:
-        """Whatever happens to the driver, no process is left."""
+        """Kill the process if it is running, so that no process outlives a failed run of the driver."""
         with suppress(ProcessLookupError):
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
 
     async def end(self) -> None:
-        """Shut the node down; one that has ended before is a violation."""
+        """Shut the node down; record a violation if its process has ended already."""
         process = self._process
         if process is None:
             return
         if process.returncode is not None:
-            self.violations.append(Violation("crash", self.name, f"found ended with {process.returncode}"))
+            self.violations.append(
+                Violation("crash", self.name, f"exited during the run with code {process.returncode}")
+            )
             return
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGTERM)
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGTERM)
         await self._wait_for_end(process)
 
     async def _wait_for_end(self, process: asyncio.subprocess.Process) -> None:
-        """Wait for as long as the platform does at least; then it is killed, which is a violation."""
+        """Wait for the end of the process; kill it after the shortest wait of the platform.
+
+        Record a violation if the process had to be killed.
+        """
         try:
             await asyncio.wait_for(process.wait(), self._kill_after_s)
         except TimeoutError:
-            self.violations.append(Violation("end", self.name, "did not end after SIGTERM"))
-            self.send(signal.SIGKILL)
+            self.violations.append(
+                Violation("end", self.name, f"still running {self._kill_after_s} s after SIGTERM")
+            )
+            self.send_signal(signal.SIGKILL)
             await process.wait()
 
     def read_log(self) -> None:
-        """Take from the log the requests that the node has read, and faults of its own."""
-        for line in self._log.read_text(errors="replace").splitlines():
+        """Record the requests that the node has read, and faults of the node, by its log."""
+        for line in self._log_path.read_text(errors="replace").splitlines():
             if '"event": "request_received"' in line:
-                identity = json.loads(line[line.index("{") :])["id"]
-                self._record.taken.add(identity.removeprefix("b'").removesuffix("'"))
-            elif any(fault in line for fault in ENDING_FAULTS):
+                request_id = json.loads(line[line.index("{") :])["id"]
+                self._observations.read_request_ids.add(request_id.removeprefix("b'").removesuffix("'"))
+            elif any(fault in line for fault in LOGGED_FAULTS):
                 self.violations.append(Violation("fault", self.name, line[:300]))
--- a/soak/oracle.py
+++ b/soak/oracle.py
@@ -1,7 +1,8 @@
-"""The rules of the platform, held against what clients, servers and agents of the soak have seen.
+"""The rules of the platform, checked against what clients, servers and agents of the soak observed.
 
-All times are monotonic seconds of the driver, which sees each thing a little late: `slack` is its own worst
-lateness. A rule is only said to be broken where that lateness can't explain it.
+All times are monotonic seconds of the driver, the process that runs clients, servers and agents. The driver
+observes each event with a delay; `Observations.max_lag_seconds` is its longest one. The oracle reports a
+violation only if this delay can't explain it.
 """
 
 from __future__ import annotations
@@ -12,116 +13,164 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-ANSWER_GRACE_SECONDS = 0.5  # s after a request's time up to which its answer is late, but not lost
-DISCONNECT_GRACE_SECONDS = 0.1  # s after a client's close in which an attempt may begin
-DRAIN_GRACE_SECONDS = 0.55  # after the notification, with the platform's slack
-DEADLINE_TOLERANCE_SECONDS = 0.15  # of a stated timeout
+ANSWER_GRACE_SECONDS = 0.5  # time after a request's deadline within which a response is late, but not lost
+DISCONNECT_GRACE_SECONDS = 0.1  # time after a client's disconnection within which an attempt may still begin
+DRAIN_GRACE_SECONDS = 0.55  # time after the notification of a drain, with the tolerance of the platform
+DEADLINE_TOLERANCE_SECONDS = 0.15  # time by which a stated timeout may exceed the time left
 
 
 class Violation(NamedTuple):
-    """A rule that was broken, and by what."""
+    """A rule that was broken, and the request or node that broke it."""
 
     rule: str
-    request: str  # its id, or the node's name
+    subject: str
+    """Id of the request, or name of the node."""
     detail: str
 
 
 @dataclass(eq=False)
 class Attempt:
-    """A request as a server has received it, to its last byte."""
+    """A request that a server has received completely."""
 
     server: str
-    at: float
-    timeout_s: float  # as the request states
-    ran: bool = True  # False where the server said that it has not run
-    ended: float | None = None  # answered, or its connection ended
+    """Name of the server."""
+    received_at: float
+    """Time at which the server had received the last byte."""
+    timeout_s: float
+    """Time left that the attempt states to the server, in X-Deadline."""
+    may_have_run: bool = True
+    """False if the server responded that it has not executed the request."""
+    ended_at: float | None = None
+    """Time of the server's response, or of the end of the connection; None while the attempt is in flight."""
 
 
 @dataclass(eq=False)
 class ClientRequest:
-    """A request as its client has sent it."""
+    """A request that a client has sent."""
 
-    identity: str
+    request_id: str
     node: str
-    once: bool  # must never run twice
-    sent: float
-    patience: float  # s
-    left: float | None = None  # when its client closed the connection
+    """Name of the node that the client sent the request to."""
+    at_most_once: bool
+    """Whether the request must never be executed twice."""
+    sent_at: float
+    deadline_seconds: float
+    """Time from `sent_at` for which the client waits, as the request states in X-Deadline."""
+    disconnected_at: float | None = None
+    """Time at which the client closed the connection without waiting for the response."""
     status: int | None = None
+    """Status of the response; None if there was none."""
     body: bytes = b""
-    answered: float | None = None
-    closed: float | None = None  # when the connection ended with no answer
+    """Body of the response."""
+    answered_at: float | None = None
+    """Time of the response."""
+    closed_at: float | None = None
+    """Time at which the connection ended without a response."""
 
 
 @dataclass
-class Record:
-    """All that was seen."""
+class Observations:
+    """All that clients, servers and agents observed in one run, and the rules that apply to it."""
 
     requests: dict[str, ClientRequest] = field(default_factory=dict)
+    """Requests of clients, by id."""
     attempts: defaultdict[str, list[Attempt]] = field(default_factory=lambda: defaultdict(list))
-    made: dict[bytes, str] = field(default_factory=dict)  # bodies that servers made: for which request
-    taken: set[str] = field(default_factory=set)  # ids that nodes say they have read
-    killed: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    """Attempts in the order of their arrival at servers, by request id."""
+    request_ids_by_body: dict[bytes, str] = field(default_factory=dict)
+    """Request ids by the body of the response that a server made for the request."""
+    read_request_ids: set[str] = field(default_factory=set)
+    """Ids of the requests that nodes have read, by their logs."""
+    kill_times: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    """Times at which a node was killed, by its name."""
     removals: list[tuple[str, str, float, float]] = field(default_factory=list)
-    """Spans in which a node must not send to a server: node, server, notified at, until."""
-    slack: float = 0.0
+    """Periods in which a node must not send to a server: node, server, time of notification, end."""
+    max_lag_seconds: float = 0.0
+    """Longest delay of the driver's event loop."""
 
     def violations(self) -> Iterator[Violation]:
         """Yield each violation of a rule."""
         for request in self.requests.values():
-            yield from self._answer(request)
-            yield from self._attempts(request)
-        yield from self._drains()
-
-    def _was_killed(self, request: ClientRequest) -> bool:
-        """Its node died while it may have held the request."""
-        end = request.sent + request.patience + ANSWER_GRACE_SECONDS
-        return any(request.sent - 0.1 <= at <= end + 0.1 for at in self.killed[request.node])
-
-    def _answer(self, request: ClientRequest) -> Iterator[Violation]:
-        if request.left is not None or self._was_killed(request):
+            yield from self._response_violations(request)
+            yield from self._attempt_violations(request)
+        yield from self._drain_violations()
+
+    def _node_was_killed(self, request: ClientRequest) -> bool:
+        """Return whether the node was killed while the request may have been in flight there."""
+        end = request.sent_at + request.deadline_seconds + ANSWER_GRACE_SECONDS
+        return any(
+            request.sent_at - 0.1 <= killed_at <= end + 0.1 for killed_at in self.kill_times[request.node]
+        )
+
+    def _response_violations(self, request: ClientRequest) -> Iterator[Violation]:
+        if request.disconnected_at is not None or self._node_was_killed(request):
             return
         if request.status is None:
-            if request.closed is None:
-                yield Violation("lost", request.identity, f"no answer to {request}")
-            elif request.identity in self.taken or self.attempts[request.identity]:
-                yield Violation("lost", request.identity, f"read, then closed: {request}")
+            if request.closed_at is None:
+                yield Violation("lost", request.request_id, f"no response to {request}")
+            elif request.request_id in self.read_request_ids or self.attempts[request.request_id]:
+                yield Violation(
+                    "lost", request.request_id, f"connection closed after the node read {request}"
+                )
             return
-        assert request.answered is not None
-        late = request.answered - request.sent - request.patience - ANSWER_GRACE_SECONDS - self.slack
-        if late > 0:
-            yield Violation("lost", request.identity, f"answered {late:.3f} s too late: {request}")
-        if request.status == 200 and self.made.get(request.body) != request.identity:
-            yield Violation("lost", request.identity, f"no server made this answer: {request.body[:60]!r}")
-        ran = [attempt for attempt in self.attempts[request.identity] if attempt.ran]
-        if request.status in (429, 503) and request.once and ran:
-            yield Violation("duplicate", request.identity, f"refused, though it may have run: {ran}")
-
-    def _attempts(self, request: ClientRequest) -> Iterator[Violation]:
-        attempts = self.attempts[request.identity]
-        if request.once and sum(attempt.ran for attempt in attempts) > 1:
-            yield Violation("duplicate", request.identity, f"ran more than once: {attempts}")
+        assert request.answered_at is not None
+        late_seconds = (
+            request.answered_at
+            - request.sent_at
+            - request.deadline_seconds
+            - ANSWER_GRACE_SECONDS
+            - self.max_lag_seconds
+        )
+        if late_seconds > 0:
+            yield Violation("lost", request.request_id, f"response {late_seconds:.3f} s too late: {request}")
+        if request.status == 200 and self.request_ids_by_body.get(request.body) != request.request_id:
+            yield Violation(
+                "lost", request.request_id, f"no server sent this response: {request.body[:60]!r}"
+            )
+        executed = [attempt for attempt in self.attempts[request.request_id] if attempt.may_have_run]
+        if request.status in (429, 503) and request.at_most_once and executed:
+            yield Violation(
+                "duplicate",
+                request.request_id,
+                f"rejected with {request.status}, though servers may have executed it: {executed}",
+            )
+
+    def _attempt_violations(self, request: ClientRequest) -> Iterator[Violation]:
+        attempts = self.attempts[request.request_id]
+        if request.at_most_once and sum(attempt.may_have_run for attempt in attempts) > 1:
+            yield Violation("duplicate", request.request_id, f"executed more than once: {attempts}")
         for earlier, later in pairwise(attempts):
-            if earlier.ended is None or earlier.ended > later.at + self.slack:
-                yield Violation("duplicate", request.identity, f"two out at once: {earlier}, {later}")
+            if earlier.ended_at is None or earlier.ended_at > later.received_at + self.max_lag_seconds:
+                yield Violation(
+                    "duplicate", request.request_id, f"two attempts in flight at once: {earlier}, {later}"
+                )
         for attempt in attempts:
-            if request.left is not None and attempt.at > request.left + DISCONNECT_GRACE_SECONDS + self.slack:
-                late = attempt.at - request.left
-                yield Violation("lost", request.identity, f"sent {late:.3f} s after its client had left")
-            left = request.sent + request.patience - attempt.at
-            if attempt.timeout_s > left + DEADLINE_TOLERANCE_SECONDS + self.slack:
+            if (
+                request.disconnected_at is not None
+                and attempt.received_at
+                > request.disconnected_at + DISCONNECT_GRACE_SECONDS + self.max_lag_seconds
+            ):
+                late_seconds = attempt.received_at - request.disconnected_at
+                yield Violation(
+                    "lost", request.request_id, f"sent {late_seconds:.3f} s after its client disconnected"
+                )
+            left_seconds = request.sent_at + request.deadline_seconds - attempt.received_at
+            if attempt.timeout_s > left_seconds + DEADLINE_TOLERANCE_SECONDS + self.max_lag_seconds:
                 yield Violation(
-                    "deadline", request.identity, f"stated {attempt.timeout_s:.3f} of {left:.3f} s"
+                    "deadline",
+                    request.request_id,
+                    f"stated timeout of {attempt.timeout_s:.3f} s with {left_seconds:.3f} s left",
                 )
 
-    def _drains(self) -> Iterator[Violation]:
-        spans = defaultdict(list)
+    def _drain_violations(self) -> Iterator[Violation]:
+        periods = defaultdict(list)
         for node, server, notified_at, until in self.removals:
-            spans[node, server].append((notified_at + DRAIN_GRACE_SECONDS + self.slack, until))
-        for identity, attempts in self.attempts.items():
-            request = self.requests.get(identity)
+            periods[node, server].append((notified_at + DRAIN_GRACE_SECONDS + self.max_lag_seconds, until))
+        for request_id, attempts in self.attempts.items():
+            request = self.requests.get(request_id)
             for attempt in attempts:
-                for begin, end in spans[request.node, attempt.server] if request else ():
-                    if begin < attempt.at < end:
-                        late = attempt.at - begin
-                        yield Violation("drain", identity, f"to {attempt.server} {late:.3f} s too late")
+                for begin, end in periods[request.node, attempt.server] if request else ():
+                    if begin < attempt.received_at < end:
+                        late_seconds = attempt.received_at - begin
+                        yield Violation(
+                            "drain", request_id, f"sent to {attempt.server} {late_seconds:.3f} s too late"
+                        )
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -1,4 +1,4 @@
-"""Servers behind a fault proxy, and agents that tell nodes of them."""
+"""Servers of the soak, fault proxies in front of them, and agents that send endpoint lists to nodes."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from contextlib import suppress
 from typing import Any
 
-from soak.oracle import Attempt, Record
+from soak.oracle import Attempt, Observations
 
 CHUNK_BYTES = 1 << 16
-FAILURES = {
+FAILURE_RESPONSES = {
     "refuse": b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
     "error": b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
     "garbage": b"HTTP/1.1 20\x00 ?\r\n\r\n",
     "trailer": b"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Not-Run: 1\r\n\r\n",
 }
-"""Responses by behaviour."""
+"""Responses that keep the connection open, by the behaviour of a server that fails requests."""
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset, if it has not ended."""
+    """Reset a connection unless it has ended."""
     if writer.get_extra_info("socket") is None:
         return
-    with suppress(OSError, RuntimeError, ValueError):  # the last one if its descriptor is closed already
-        own = writer.get_extra_info("socket")
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+    with suppress(OSError, RuntimeError, ValueError):  # ValueError if the descriptor is closed already
+        connection_socket = writer.get_extra_info("socket")
+        connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     writer.transport.abort()
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes], bytes]:
-    """First line, headers by their lower names, and body."""
+    """Return the first line of an HTTP message, its headers by lower-case name, and its body."""
     head = await reader.readuntil(b"\r\n\r\n")
-    first, *lines = head.rstrip().split(b"\r\n")
+    first_line, *lines = head.rstrip().split(b"\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(b":") for line in lines)}
-    return first, headers, await reader.readexactly(int(headers.get(b"content-length", 0)))
+    return first_line, headers, await reader.readexactly(int(headers.get(b"content-length", 0)))
 
 
 ConnectionHandler = Callable[
@@ -47,31 +47,31 @@
 
 
 class ServerProtocol(asyncio.StreamReaderProtocol):
-    """A connection of a server, which notes its end while the handler is busy."""
+    """A connection of a server that records when it ended, even if the handler notices that later."""
 
-    def __init__(self, serve: ConnectionHandler) -> None:
-        super().__init__(asyncio.StreamReader(), lambda reader, writer: serve(self, reader, writer))
-        self.ended_at: float | None = None  # monotonic s; None: it is open
+    def __init__(self, handler: ConnectionHandler) -> None:
+        super().__init__(asyncio.StreamReader(), lambda reader, writer: handler(self, reader, writer))
+        self.ended_at: float | None = None  # monotonic seconds; None while the connection is open
 
     def eof_received(self) -> bool:
-        """Note the end of the client's sending."""
-        self._note_end()
+        """Record the time at which the client ended its sending."""
+        self._record_end()
         return bool(super().eof_received())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end of the connection."""
-        self._note_end()
+        """Record the time at which the connection ended."""
+        self._record_end()
         super().connection_lost(exc)
 
-    def _note_end(self) -> None:
+    def _record_end(self) -> None:
         if self.ended_at is None:
             self.ended_at = time.monotonic()
 
 
 class Server:
-    """Answers requests, as its behaviour tells, and records each that has arrived completely."""
+    """Answers requests according to its behaviour, and records each request that it received completely."""
 
-    behaviours = (
+    BEHAVIOURS = (
         "serve",
         "slow",
         "hang",
@@ -86,88 +86,88 @@
         "trailer",
     )
 
-    def __init__(self, name: str, record: Record, seed: int) -> None:
+    def __init__(self, name: str, observations: Observations, seed: int) -> None:
         self.name = name
         self.behaviour = "serve"
         self.state = "Ready"
         self.started_ms = 0
         self.port = 0
         self.writers: set[asyncio.StreamWriter] = set()
-        self._record = record
+        self._observations = observations
         self._random = random.Random(seed)
-        self._made = 0
+        self._response_count = 0
 
     async def start(self) -> None:
         """Listen on a free port."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: ServerProtocol(self._serve), "127.0.0.1", 0)
+        server = await loop.create_server(lambda: ServerProtocol(self._handle_connection), "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
 
-    async def _serve(
+    async def _handle_connection(
         self, protocol: ServerProtocol, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.writers.add(writer)
         attempt = None
         try:
             while True:
-                first, headers, _ = await read_message(reader)
+                _request_line, headers, _body = await read_message(reader)
                 timeout_s = int(headers[b"x-deadline"].removesuffix(b"u")) / 1e6
                 attempt = Attempt(self.name, time.monotonic(), timeout_s)
-                identity = headers[b"x-request-id"].decode()
-                self._record.attempts[identity].append(attempt)
-                if not await self._answer(identity, attempt, reader, writer):
+                request_id = headers[b"x-request-id"].decode()
+                self._observations.attempts[request_id].append(attempt)
+                if not await self._respond(request_id, attempt, reader, writer):
                     break
-                attempt.ended = protocol.ended_at or time.monotonic()
+                attempt.ended_at = protocol.ended_at or time.monotonic()
         except (asyncio.IncompleteReadError, OSError, RuntimeError):
             pass
         finally:
-            if attempt is not None and attempt.ended is None:
-                attempt.ended = protocol.ended_at or time.monotonic()
+            if attempt is not None and attempt.ended_at is None:
+                attempt.ended_at = protocol.ended_at or time.monotonic()
             self.writers.discard(writer)
             writer.close()
 
-    async def _answer(
-        self, identity: str, attempt: Attempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _respond(
+        self, request_id: str, attempt: Attempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer a request; return False where the connection ends behind the answer."""
-        self._made += 1
-        body = f"{self.name} {self._made} for {identity}".encode()
-        self._record.made[body] = identity
+        """Answer a request, or fail it; return False if the connection ends after this request."""
+        self._response_count += 1
+        body = f"{self.name} {self._response_count} for {request_id}".encode()
+        self._observations.request_ids_by_body[body] = request_id
         behaviour = self.behaviour if self._random.random() < 0.7 else "serve"
         await asyncio.sleep(self._random.uniform(0.002, 0.02))
         if behaviour == "slow":
             await asyncio.sleep(self._random.uniform(0.1, 0.5))
         elif behaviour == "hang":
-            await reader.read(1)  # until the node gives up
+            await reader.read(1)  # until the node closes the connection
             return False
-        framed = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        unframed = b"HTTP/1.1 200 OK\r\n\r\n" + body
+        with_length = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+        without_length = b"HTTP/1.1 200 OK\r\n\r\n" + body
         if behaviour == "reset":
             reset(writer)
         elif behaviour == "no_length":
-            writer.write(unframed)
+            writer.write(without_length)
         elif behaviour == "cut":
-            writer.write(self._random.choice((framed, unframed))[: -self._random.randrange(1, 20)])
+            writer.write(self._random.choice((with_length, without_length))[: -self._random.randrange(1, 20)])
             await writer.drain()
             await asyncio.sleep(0.005)
             reset(writer)
         elif behaviour == "close":
-            writer.write(framed)
+            writer.write(with_length)
             await asyncio.sleep(self._random.uniform(0.0, 0.02))
         else:
-            attempt.ran = behaviour != "refuse"
-            writer.write(self._failure(behaviour) or framed)
+            attempt.may_have_run = behaviour != "refuse"
+            writer.write(self._failure_response(behaviour) or with_length)
             return True
         return False
 
-    def _failure(self, behaviour: str) -> bytes:
-        """Return the response of a behaviour that fails and keeps the connection; empty for any other."""
+    def _failure_response(self, behaviour: str) -> bytes:
+        """Return the response of a behaviour that fails requests on open connections; empty for any other."""
         if behaviour == "odd":
-            return self._odd_response()
-        return FAILURES.get(behaviour, b"")
+            return self._unusual_response()
+        return FAILURE_RESPONSES.get(behaviour, b"")
 
-    def _odd_response(self) -> bytes:
-        """Return a complete response with a rare status, reason or header."""
+    def _unusual_response(self) -> bytes:
+        """Return a complete response with an unusual status, reason or header."""
         status = self._random.choice((b"204", b"304", b"418", b"419", b"430", b"451", b"499", b"599", b"999"))
         reason = self._random.choice((b"", b" ", b" \xe9\xff", b" " + b"R" * 300))
         header = self._random.choice(
@@ -182,17 +182,17 @@
         )
         return b"HTTP/1.1 %s%s\r\n%sContent-Length: 0\r\n\r\n" % (status, reason, header)
 
-    def stop_all(self) -> None:
-        """Reset all its connections, as when its process dies."""
+    def reset_connections(self) -> None:
+        """Reset all connections of the server, as if its process had died."""
         for writer in list(self.writers):
             reset(writer)
 
 
 class FaultProxy:
-    """A proxy in front of a server.
+    """A TCP proxy in front of a server, which injects faults into the server's connections.
 
-    Its fault `silent` swallows what the server sends, `refuse` resets new connections. Towards the server
-    nothing is delayed, so that its times are right.
+    The fault `silent` discards what the server sends; `refuse` resets new connections. The proxy never delays
+    data to the server, so that the times at which the server receives requests are accurate.
     """
 
     def __init__(self, server: Server) -> None:
@@ -202,24 +202,26 @@
 
     async def start(self) -> None:
         """Listen on a free port."""
-        listening = await asyncio.start_server(self._carry, "127.0.0.1", 0)
-        self.port = listening.sockets[0].getsockname()[1]
+        listener = await asyncio.start_server(self._forward_connection, "127.0.0.1", 0)
+        self.port = listener.sockets[0].getsockname()[1]
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.fault == "refuse":
             reset(writer)
             return
-        back, forth = await asyncio.open_connection("127.0.0.1", self.server.port)
-        pumps = [
-            asyncio.create_task(self._pump(reader, forth, False)),
-            asyncio.create_task(self._pump(back, writer, True)),
+        server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self.server.port)
+        copies = [
+            asyncio.create_task(self._copy(reader, server_writer, False)),
+            asyncio.create_task(self._copy(server_reader, writer, True)),
         ]
-        await asyncio.wait(pumps)
+        await asyncio.wait(copies)
 
-    async def _pump(self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, answers: bool) -> None:
+    async def _copy(
+        self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, is_from_server: bool
+    ) -> None:
         try:
             while data := await source.read(CHUNK_BYTES):
-                if not (answers and self.fault == "silent"):
+                if not (is_from_server and self.fault == "silent"):
                     sink.write(data)
                     await sink.drain()
             sink.close()
@@ -227,61 +229,61 @@
             reset(sink)
 
 
-class Agent:
-    """Tells one node of the servers; one address of the two that the node's configurations name."""
+class DiscoveryAgent:
+    """A discovery agent of one node; the node's configurations name one of its two agents."""
 
     def __init__(self) -> None:
         self.port = 0
         self.version = 10
-        self.down = False
-        self.silent_since: float | None = None  # open watches get nothing; new ones do
+        self.is_down = False  # whether new watches wait for their list
+        self.silent_since: float | None = None  # when open watches became silent; None after a new watch
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self._complete_list: list[dict[str, Any]] = []
         self._watches: set[asyncio.StreamWriter] = set()
-        self._silent: set[asyncio.StreamWriter] = set()
+        self._silent_watches: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
         """Listen on a free port."""
-        server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._serve_watch, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
 
-    def hold(self, version: int, entries: list[dict[str, Any]], changed: list[dict[str, Any]]) -> None:
-        """Hold a list from now on, and send the changes to the watches."""
+    def publish(self, version: int, entries: list[dict[str, Any]], changed: list[dict[str, Any]]) -> None:
+        """Store a complete list for new watches, and send its changed entries on the open ones."""
         self.version, self._complete_list = version, entries
-        for writer in self._watches - self._silent:
-            self._line(writer, {"version": version, "full": False, "servers": changed})
+        for writer in self._watches - self._silent_watches:
+            self._send_line(writer, {"version": version, "full": False, "servers": changed})
 
-    def _line(self, writer: asyncio.StreamWriter, document: dict[str, Any] | None) -> None:
-        text = (json.dumps(document).encode() if document else b"") + b"\n"
-        with suppress(OSError, RuntimeError):  # the transport may be closed by now
-            writer.write(b"%x\r\n%s\r\n" % (len(text), text))
+    def _send_line(self, writer: asyncio.StreamWriter, document: dict[str, Any] | None) -> None:
+        line = (json.dumps(document).encode() if document else b"") + b"\n"
+        with suppress(OSError, RuntimeError):  # the transport may be closed already
+            writer.write(b"%x\r\n%s\r\n" % (len(line), line))
 
-    def fall_silent(self) -> None:
-        """Send nothing more on the open watches."""
+    def silence_watches(self) -> None:
+        """Send nothing more on the watches that are open now."""
         self.silent_since = time.monotonic()
-        self._silent |= self._watches
+        self._silent_watches |= self._watches
 
-    def drop(self) -> None:
-        """Reset all watches."""
+    def reset_watches(self) -> None:
+        """Reset the connections of all watches."""
         for writer in list(self._watches):
             reset(writer)
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await read_message(reader)
-            while self.down:
+            while self.is_down:
                 await asyncio.sleep(0.02)
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self._line(writer, {"version": self.version, "full": True, "servers": self._complete_list})
+            self._send_line(writer, {"version": self.version, "full": True, "servers": self._complete_list})
             self._watches.add(writer)
             self.silent_since = None
             while not writer.is_closing():
                 await asyncio.sleep(2.0)
-                if writer not in self._silent:
-                    self._line(writer, None)
+                if writer not in self._silent_watches:
+                    self._send_line(writer, None)
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
             self._watches.discard(writer)
-            self._silent.discard(writer)
+            self._silent_watches.discard(writer)
             writer.close()
--- a/soak/shims.py
+++ b/soak/shims.py
@@ -1,8 +1,9 @@
-"""Runs the node's real program with a wall clock and system calls that fail on command.
+"""Runs the node's program with shims that change the wall clock and make system calls fail on command.
 
-As a program (`python soak/shims.py CONTROL`) it is the node, its module `time`, listening socket and event
-loop replaced by ones that look into the control file before each call. A test holds a `Faults` on the same
-file and sets what they find there. It needs no compiler; the monotonic clock is left alone.
+`python soak/shims.py CONTROL_FILE` runs the node in the same process. It replaces the wall clock, the
+listening socket and the event loop by shims that read the control file before each call. A test controls them
+through a `Faults` object on the same file. The shims need no compiler, and they do not change the monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -16,13 +17,19 @@
 from pathlib import Path
 from typing import Any
 
+# Signed 64-bit integers of the control file, in this order.
 FIELDS = ("wall_offset_ms", "accept_errno", "connect_errno", "connect_port", "accepts_failed")
 LAYOUT = struct.Struct(f"<{len(FIELDS)}q")
 ROOT = Path(__file__).parent.parent
 
 
 class Faults:
-    """What the shims of one node find; each field is a whole number, 0 for no fault."""
+    """The control file of one node's shims; each field is an integer, 0 if there is no fault.
+
+    `wall_offset_ms` is added to the wall clock. `accept_errno` and `connect_errno` are the error numbers that
+    the calls fail with; `connect_port` limits the latter to one port unless it is 0. `accepts_failed` counts
+    the calls that failed.
+    """
 
     def __init__(self, path: Path, create: bool = True) -> None:
         self.path = path
@@ -32,11 +39,11 @@
             self._memory = mmap.mmap(file.fileno(), LAYOUT.size)
 
     def get(self, field: str) -> int:
-        """Return the value of a field."""
+        """Return the value of a field, by its name in `FIELDS`."""
         return int(LAYOUT.unpack_from(self._memory)[FIELDS.index(field)])
 
     def set(self, **values: int) -> None:
-        """Set fields by name."""
+        """Set fields, by their names in `FIELDS`."""
         for field, value in values.items():
             struct.pack_into("<q", self._memory, 8 * FIELDS.index(field), value)
 
@@ -46,7 +53,10 @@
 
 
 def install(faults: Faults) -> None:
-    """Replace clock, sockets and loop of this process; before anything of the node is imported."""
+    """Replace the wall clock, the sockets and the event loop of this process.
+
+    Must be called before any module of the node is imported.
+    """
     import uvloop
 
     real_time_ns, real_time = time.time_ns, time.time
@@ -55,16 +65,16 @@
 
     class FaultySocket(socket.socket):
         def accept(self) -> tuple[socket.socket, Any]:
-            if number := faults.get("accept_errno"):
+            if error_number := faults.get("accept_errno"):
                 faults.set(accepts_failed=faults.get("accepts_failed") + 1)
-                raise OSError(number, os.strerror(number))
+                raise OSError(error_number, os.strerror(error_number))
             return super().accept()
 
     class FaultyLoop(uvloop.Loop):
         async def create_connection(self, *arguments: Any, **options: Any) -> Any:
-            number, port = faults.get("connect_errno"), faults.get("connect_port")
-            if number and port in (0, arguments[2]):
-                raise OSError(number, os.strerror(number))
+            error_number, port = faults.get("connect_errno"), faults.get("connect_port")
+            if error_number and port in (0, arguments[2]):
+                raise OSError(error_number, os.strerror(error_number))
             return await super().create_connection(*arguments, **options)
 
     socket.socket = FaultySocket  # type: ignore[misc]
@@ -72,12 +82,12 @@
 
 
 def main() -> int:
-    """Run the node with the shims; return its exit code."""
+    """Run the node with the shims; return the node's exit code."""
     install(Faults(Path(sys.argv[1]), create=False))
     sys.path.insert(0, str(ROOT))
-    from moleport.__main__ import main as node
+    from moleport.__main__ import main as run_node
 
-    return node()
+    return run_node()
 
 
 if __name__ == "__main__":
