--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -1,4 +1,4 @@
-"""A configuration document loads, or the error names the key that is at fault."""
+"""Tests that a configuration file is either usable, or causes an error that names the invalid key."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 DOCUMENT["settings"]["Tenants"] = [{"Name": "one", "Share": 0.5}]
 
 
-def nested(depth: int) -> Any:
+def nested_list(level_count: int) -> Any:
     value: Any = 1
-    for _ in range(depth):
+    for _ in range(level_count):
         value = [value]
     return value
 
@@ -39,17 +39,17 @@
         return load({"BALANCER_CONFIG": str(path)})
 
 
-def paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Return the path of each value in a document, without that of the document itself."""
+def paths_of_values(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Return the path of each value in a document, without the path of the document itself."""
     items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     found = [path] if path else []
     for key, inner in items:
-        found += paths(inner, (*path, key))
+        found += paths_of_values(inner, (*path, key))
     return found
 
 
-PATHS = paths(DOCUMENT)
-VALUES = st.one_of(
+PATHS = paths_of_values(DOCUMENT)
+REPLACEMENT_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(),
@@ -59,29 +59,29 @@
     st.sampled_from(["\ud800", "1e999", "nan", "0x10", ",", "\x00", "127.0.0.1:70000"]),
     st.lists(st.one_of(st.integers(), st.text(max_size=3), st.dictionaries(st.text(max_size=3), st.none()))),
     st.dictionaries(st.text(max_size=5), st.integers(), max_size=2),
-    st.sampled_from([{"count": 10**9}, nested(20), nested(200)]),
+    st.sampled_from([{"count": 10**9}, nested_list(20), nested_list(200)]),
 )
 
 
-def changed(document: dict[str, Any], path: tuple[Any, ...], value: Any) -> dict[str, Any]:
+def with_value(document: dict[str, Any], path: tuple[Any, ...], value: Any) -> dict[str, Any]:
     document = copy.deepcopy(document)
-    holder: Any = document
+    parent: Any = document
     for key in path[:-1]:
-        holder = holder[key]
-    holder[path[-1]] = value
+        parent = parent[key]
+    parent[path[-1]] = value
     return document
 
 
 @hypothesis_settings(max_examples=600, deadline=None, database=None, derandomize=True)
-@given(st.sampled_from(PATHS), VALUES)
+@given(st.sampled_from(PATHS), REPLACEMENT_VALUES)
 def test_a_changed_document_is_usable_or_its_error_names_the_key(path: tuple[Any, ...], value: Any) -> None:
     try:
-        config = load_text(json.dumps(changed(DOCUMENT, path, value)))
+        config = load_text(json.dumps(with_value(DOCUMENT, path, value)))
     except ConfigError as error:
         keys = [str(key) for key in path if isinstance(key, str)]
         assert any(key in str(error) for key in keys), (path, value, error)
         assert len(str(error)) < 400
-        str(error).encode()  # it is written to the log
+        str(error).encode()  # the error is written to the log as UTF-8
         return
     Balancer(config.policy_settings, config.seed).start(1)
     ConnectionPools(10, config.connect_timeout_ns, config.idle_timeout_ns)
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "named_key"),
     [
         (("settings", "Tenants"), 5, "Tenants"),
         (("settings", "Grades"), 5, "Grades"),
@@ -103,22 +103,24 @@
     ],
     ids=range(9),
 )
-def test_an_error_names_the_key(path: tuple[Any, ...], value: Any, named: str) -> None:
-    with pytest.raises(ConfigError, match=named):
-        load_text(json.dumps(changed(DOCUMENT, path, value)))
+def test_the_error_for_an_invalid_value_names_its_key(
+    path: tuple[Any, ...], value: Any, named_key: str
+) -> None:
+    with pytest.raises(ConfigError, match=named_key):
+        load_text(json.dumps(with_value(DOCUMENT, path, value)))
 
 
-def test_settings_that_the_node_does_not_know_may_hold_anything() -> None:
+def test_unknown_settings_may_have_any_value() -> None:
     document = copy.deepcopy(DOCUMENT)
-    document["settings"]["Other"] = {"a": [nested(20), {"b": None}], "c": [{"d": [[]]}, 5]}
+    document["settings"]["Other"] = {"a": [nested_list(20), {"b": None}], "c": [{"d": [[]]}, 5]}
     assert load_text(json.dumps(document)) == load_text(json.dumps(DOCUMENT))
 
 
 @pytest.mark.parametrize(
     "text",
     ["[" * 100_000, '{"settings":' * 100_000, "", "5", "[]", "\ud800"],
-    ids=["deep list", "deep object", "empty", "number", "list", "surrogate"],
+    ids=["nested lists", "nested objects", "empty", "number", "list", "surrogate"],
 )
-def test_a_file_that_holds_no_object_is_reported(text: str) -> None:
+def test_a_file_without_a_json_object_is_an_error(text: str) -> None:
     with pytest.raises(ConfigError, match="BALANCER_CONFIG"):
         load_text(text)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: its form, and that a test that passes has to leave it."""
+"""Tests of the hooks for known failures: the form of an entry, and which results fail a run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from conftest import read_known_red
 
 CONFTEST = Path(__file__).parent / "conftest.py"
-TESTS = """
+TEST_FILE = """
 import pytest
 
 @pytest.mark.parametrize("case", [0, 1])
@@ -23,7 +23,7 @@
 
 
 ENTRY = "tests/a.py::test_a | pytest tests/a.py | 7 | it hangs | an issue"
-MALFORMED = (
+INVALID_LINES = (
     "test",
     "tests/a.py::test_a | it hangs | an issue",
     ENTRY.replace("it hangs", " "),
@@ -35,8 +35,8 @@
 )
 
 
-@pytest.mark.parametrize("line", MALFORMED)
-def test_a_malformed_line_is_an_error_that_names_it(line: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("line", INVALID_LINES)
+def test_an_invalid_line_is_an_error_that_names_the_line(line: str, tmp_path: Path) -> None:
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(f"{ENTRY}\n{line}\n")
     with pytest.raises(ValueError, match="line 2"):
@@ -52,11 +52,11 @@
 
 
 def run_with_entry(body: str, seen: str, tmp_path: Path) -> subprocess.CompletedProcess[str]:
-    """Run the tests with one entry in the list, for a test with that body."""
-    tests = tmp_path / "tests"
-    tests.mkdir()
-    (tests / "conftest.py").write_text(CONFTEST.read_text())
-    (tests / "test_it.py").write_text(TESTS.format(body=body))
+    """Run TEST_FILE with this body of `test_red`, while KNOWN-RED.txt lists `test_red`."""
+    folder = tmp_path / "tests"
+    folder.mkdir()
+    (folder / "conftest.py").write_text(CONFTEST.read_text())
+    (folder / "test_it.py").write_text(TEST_FILE.format(body=body))
     entry = f"tests/test_it.py::test_red | pytest tests/test_it.py | none | {seen} | an issue\n"
     (tmp_path / "KNOWN-RED.txt").write_text(entry)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"]
@@ -66,34 +66,34 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "green"),
+    ("body", "passes"),
     [
         ("assert case is None", True),
-        ("assert case", False),  # one of its cases passes
+        ("assert case", False),  # one of the two cases passes
         ("assert True", False),
-        ("raise RuntimeError", False),  # it breaks, and shows nothing
+        ("raise RuntimeError", False),  # an unexpected exception does not show the listed failure
     ],
 )
 @pytest.mark.parametrize("seen", ["it hangs", "it hangs in 5 of 5 runs"])
 def test_only_a_listed_test_that_fails_lets_the_run_pass(
-    body: str, green: bool, seen: str, tmp_path: Path
+    body: str, passes: bool, seen: str, tmp_path: Path
 ) -> None:
     run = run_with_entry(body, seen, tmp_path)
-    assert (run.returncode == 0) is green
+    assert (run.returncode == 0) is passes
 
 
 @pytest.mark.parametrize(
-    ("body", "green", "result"),
+    ("body", "passes", "result"),
     [
         ("assert case is None", True, "2 failed, 0 passed"),
         ("assert case", True, "1 failed, 1 passed"),
         ("assert True", True, "0 failed, 2 passed"),
-        ("raise RuntimeError", False, "0 failed, 0 passed"),  # it breaks, and shows nothing
+        ("raise RuntimeError", False, "0 failed, 0 passed"),  # an unexpected exception counts as neither
     ],
 )
-def test_a_test_that_fails_in_some_runs_may_pass_and_its_result_is_printed(
-    body: str, green: bool, result: str, tmp_path: Path
+def test_a_test_that_fails_intermittently_may_pass_and_its_result_is_printed(
+    body: str, passes: bool, result: str, tmp_path: Path
 ) -> None:
     run = run_with_entry(body, "it hangs in 2 of 5 runs", tmp_path)
-    assert (run.returncode == 0) is green
+    assert (run.returncode == 0) is passes
     assert f"seed none; this run: {result}\n" in run.stdout
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The embedding example of the README runs and prints what the page says."""
+"""Tests that the embedding example of the README runs and prints the output that the page shows."""
 
 import re
 import subprocess
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,22 +1,22 @@
-"""Sizes of the files of the package, and the modules that the deploy file lists."""
+"""Tests of the package's files: their lengths, and that the deploy file lists the policy's modules."""
 
 import tomllib
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "moleport"
-POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+DEPLOYED_POLICY_FILES = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 MAX_FILE_LINES = 400
 MAX_LINE_LENGTH = 110
 
 
 def test_files_of_the_package_are_short() -> None:
-    long = {
+    long_files = {
         str(path.relative_to(PACKAGE))
         for path in PACKAGE.rglob("*.py")
         if len(path.read_text().splitlines()) > MAX_FILE_LINES
     }
-    assert not long
+    assert not long_files
 
 
 def test_lines_of_the_package_are_short() -> None:
@@ -24,10 +24,12 @@
     assert max(map(len, lines)) <= MAX_LINE_LENGTH
 
 
-def test_deploy_file_lists_every_policy_module() -> None:
-    own = {f"moleport/policy/{path.name}" for path in (PACKAGE / "policy").glob("*.py")}
-    assert own - {"moleport/policy/__init__.py", "moleport/policy/interface.py"} == set(POLICY)
+def test_the_deploy_file_lists_every_policy_module() -> None:
+    policy_files = {f"moleport/policy/{path.name}" for path in (PACKAGE / "policy").glob("*.py")}
+    assert policy_files - {"moleport/policy/__init__.py", "moleport/policy/interface.py"} == set(
+        DEPLOYED_POLICY_FILES
+    )
 
 
-def test_first_line_of_the_balancer_names_its_interface() -> None:
+def test_the_first_line_of_the_balancer_names_its_interface() -> None:
     assert "interface.py" in (PACKAGE / "policy" / "balancer.py").read_text().splitlines()[0]
