--- a/scale/real/processes.py
+++ b/scale/real/processes.py
@@ -1,4 +1,7 @@
-"""The processes of a scale test: nodes, stand-in servers and loads; each ends with its block."""
+"""Starts the processes of a capacity measurement: nodes, stand-in servers and load generators.
+
+The context managers kill their process when the block ends.
+"""
 
 from __future__ import annotations
 
@@ -14,25 +17,30 @@
 from time import monotonic
 from typing import Any
 
-from scale.real.standins import ZONES, Agent, Entry
+from scale.real.standins import ZONE_COUNT, Agent, Entry
 
 ROOT = Path(__file__).parent.parent.parent
-START_WITHIN = 60.0  # s
-SECOND = 10**9  # ns
-SOCKETS = 1024  # descriptors of a node: the most that the platform's terms give
-IDLE_CLOSE = 15 * SECOND  # after which a server closes an idle connection, as in the wire page's example
-NODES = 660
-ENDS_WITH_US = ("setpriv", "--pdeathsig", "KILL") if which("setpriv") else ()
-"""A test that is killed leaves no node behind. It becomes the node: no process is added."""
+START_TIMEOUT_SECONDS = 60.0
+SECOND_NS = 10**9
+DESCRIPTOR_COUNT = 1024  # file descriptors of a node: the most that the platform allows
+IDLE_TIMEOUT_NS = 15 * SECOND_NS
+"""A server closes a connection that is idle for so long, as in the example of the protocol description."""
+NODE_COUNT = 660  # of the service
+KILL_WITH_PARENT_COMMAND = ("setpriv", "--pdeathsig", "KILL") if which("setpriv") else ()
+"""Prefix of a command, so that the kernel kills the node if the measurement is killed.
+
+setpriv executes the command in its own process, so there is no further process to measure or to kill.
+"""
 
 
-def grade(name: str, semantics: str) -> dict[str, Any]:
+def request_class(name: str, semantics: str) -> dict[str, Any]:
+    """Return a request class as the configuration file writes it."""
     return {
-        "Aim": SECOND // 4,
-        "Deadline": SECOND,
+        "Aim": SECOND_NS // 4,
+        "Deadline": SECOND_NS,
         "Group": "all",
         "LateShare": 0.0,
-        "MemorySpan": 5 * SECOND,
+        "MemorySpan": 5 * SECOND_NS,
         "Name": name,
         "Semantics": semantics,
         "Stream": False,
@@ -41,37 +49,44 @@
 
 
 def configuration(
-    agent: Agent, known: list[Entry], sockets: int = SOCKETS, tenants: int = 0, classes: int = 2
+    agent: Agent,
+    known: list[Entry],
+    descriptor_count: int = DESCRIPTOR_COUNT,
+    tenant_count: int = 0,
+    class_count: int = 2,
 ) -> dict[str, Any]:
-    """What a node is told; `known` is the list that it held last, of the agent's first version if any.
-    Classes after the first two are as the first, and never asked for."""
+    """Return a node's configuration document.
+
+    `known` is the endpoint list that the node starts with, of the agent's version; without entries its
+    version is 0. Request classes after the first two equal the first, and get no requests.
+    """
     settings = {
         "Contract": {
-            "AskWithin": 10 * SECOND,
-            "Cold": 8 * SECOND,
+            "AskWithin": 10 * SECOND_NS,
+            "Cold": 8 * SECOND_NS,
             "ColdShare": 0.3,
-            "StopSendingWithin": SECOND // 2,
+            "StopSendingWithin": SECOND_NS // 2,
         },
         "Feedback": {"Fields": [], "How": "none"},
         "Grades": [
-            grade("page", "repeatable"),
-            grade("order", "once"),
-            *(grade(f"route-{number}", "repeatable") for number in range(classes - 2)),
+            request_class("page", "repeatable"),
+            request_class("order", "once"),
+            *(request_class(f"route-{number}", "repeatable") for number in range(class_count - 2)),
         ],
         "Kinds": ["m2"],
-        "Zones": [f"z{zone}" for zone in range(ZONES)],
+        "Zones": [f"z{zone}" for zone in range(ZONE_COUNT)],
         "MyZone": 0,
-        "Tenants": [{"Name": f"t-{number:06x}", "Share": 1 / tenants} for number in range(tenants)],
+        "Tenants": [{"Name": f"t-{number:06x}", "Share": 1 / tenant_count} for number in range(tenant_count)],
         "MembershipMode": "pushed",
         "Limits": {
-            "DialTimeout": SECOND // 4,
-            "IdleClose": IDLE_CLOSE,
-            "MaxRetryAfter": SECOND,
+            "DialTimeout": SECOND_NS // 4,
+            "IdleClose": IDLE_TIMEOUT_NS,
+            "MaxRetryAfter": SECOND_NS,
             "OpenCap": 20000,
             "RetryAfter": True,
             "SendCap": 3,
         },
-        "PeersTotal": NODES,
+        "PeersTotal": NODE_COUNT,
         "WorthBy": "request",
     }
     host, port = agent.address
@@ -80,42 +95,47 @@
         "listen": "127.0.0.1:0",
         "discovery": f"{host}:{port}",
         "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": descriptor_count},
         "settings": settings,
         "known": {"version": agent.version if known else 0, "full": True, "servers": known},
     }
 
 
 class NodeProcess:
-    """One real node: `python -m moleport`."""
+    """A node in a process of its own, `python -m moleport`, with its processor time and memory."""
 
-    def __init__(self, process: asyncio.subprocess.Process, address: tuple[str, int], began: float) -> None:
+    def __init__(
+        self, process: asyncio.subprocess.Process, address: tuple[str, int], started_at: float
+    ) -> None:
         self.process = process
         self.address = address
-        self.began = began  # monotonic s
-        self.ready = 0.0  # s from its start until `/up` answered 200
-        self.cpu_ready = 0.0  # s of processor time until then
+        self.started_at = started_at  # in seconds of the monotonic clock
+        self.startup_seconds = 0.0  # from the start of the process until `/up` answered 200
+        self.startup_cpu_seconds = 0.0  # processor time until then
         self.log: list[bytes] = []
 
-    def cpu(self) -> float:
-        """Seconds of processor time so far."""
-        return self._scheduled(0)
+    def cpu_seconds(self) -> float:
+        """Return the processor time so far, in seconds."""
+        return self._schedstat_seconds(0)
+
+    def cpu_wait_seconds(self) -> float:
+        """Return for how many seconds so far its threads were ready to run without a free core.
 
-    def waited(self) -> float:
-        """Seconds so far for which it could have run and had no core: another's load on this machine."""
-        return self._scheduled(1)
+        That time is due to other processes on this machine.
+        """
+        return self._schedstat_seconds(1)
 
-    def _scheduled(self, column: int) -> float:
+    def _schedstat_seconds(self, column: int) -> float:
         tasks = Path(f"/proc/{self.process.pid}/task").iterdir()
-        return sum(int((task / "schedstat").read_text().split()[column]) for task in tasks) / SECOND
+        return sum(int((task / "schedstat").read_text().split()[column]) for task in tasks) / SECOND_NS
 
-    def rss(self) -> float:
-        """MB resident."""
+    def rss_mb(self) -> float:
+        """Return the resident memory in MB."""
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
-    async def up(self) -> int:
-        """The status of `/up`, asked on a connection of its own."""
+    async def up_status(self) -> int:
+        """Return the status code of `/up`, requested on a new connection."""
         reader, writer = await asyncio.open_connection(*self.address)
         try:
             writer.write(b"GET /up HTTP/1.1\r\nHost: node\r\n\r\n")
@@ -123,36 +143,42 @@
         finally:
             writer.close()
 
-    async def answers(self) -> None:
-        """Until it has done what lay before it: asked twice, as it reads a long list in several turns of its
-        loop, and takes a new client in as many."""
-        for _ in range(2):
-            await self.up()
-
-    async def settle(self, least: float = 0.03) -> None:
-        """Until it spends under a fifth of a core, over two looks in a row."""
-        quiet = 0
-        while quiet < 2:
-            before, at = self.cpu(), monotonic()
-            await asyncio.sleep(least)
-            quiet = quiet + 1 if self.cpu() - before < (monotonic() - at) / 5 else 0
+    async def wait_until_responsive(self) -> None:
+        """Wait until the node has processed what it received before the call.
 
-    async def drain_log(self) -> None:
+        It requests `/up` twice, as the node reads a long list in several iterations of its event loop, and
+        accepts a new client in as many.
+        """
+        for _ in range(2):
+            await self.up_status()
+
+    async def wait_until_idle(self, sample_seconds: float = 0.03) -> None:
+        """Wait until the node uses less than a fifth of a core in two successive samples."""
+        idle_samples = 0
+        while idle_samples < 2:
+            cpu_before, sampled_at = self.cpu_seconds(), monotonic()
+            await asyncio.sleep(sample_seconds)
+            idle_samples = (
+                idle_samples + 1 if self.cpu_seconds() - cpu_before < (monotonic() - sampled_at) / 5 else 0
+            )
+
+    async def read_log(self) -> None:
+        """Read the node's standard error until it ends, and keep the first 1000 lines."""
         assert self.process.stderr is not None
-        async for text in self.process.stderr:
+        async for line in self.process.stderr:
             if len(self.log) < 1000:
-                self.log.append(text)
+                self.log.append(line)
 
 
 @asynccontextmanager
-async def node(document: dict[str, Any]) -> AsyncIterator[NodeProcess]:
-    """A node that is up."""
+async def running_node(document: dict[str, Any]) -> AsyncIterator[NodeProcess]:
+    """Start a node and yield it once `/up` answers 200; raises TimeoutError."""
     with TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
         path.write_text(json.dumps(document))
-        began = monotonic()
+        started_at = monotonic()
         process = await asyncio.create_subprocess_exec(
-            *ENDS_WITH_US,
+            *KILL_WITH_PARENT_COMMAND,
             sys.executable,
             "-m",
             "moleport",
@@ -160,41 +186,49 @@
             env={**os.environ, "BALANCER_CONFIG": str(path)},
             stderr=asyncio.subprocess.PIPE,
         )
-        reading = None
+        log_reader = None
         try:
-            async with asyncio.timeout(START_WITHIN):
-                found = await _started(process, began)
-                reading = asyncio.create_task(found.drain_log())
-                while await found.up() != 200:
+            async with asyncio.timeout(START_TIMEOUT_SECONDS):
+                started = await _wait_for_address(process, started_at)
+                log_reader = asyncio.create_task(started.read_log())
+                while await started.up_status() != 200:
                     await asyncio.sleep(0.002)
-            found.ready, found.cpu_ready = monotonic() - began, found.cpu()
-            yield found
+            started.startup_seconds, started.startup_cpu_seconds = (
+                monotonic() - started_at,
+                started.cpu_seconds(),
+            )
+            yield started
         finally:
             if process.returncode is None:
                 process.kill()
             await process.wait()
-            if reading is not None:
-                await reading
+            if log_reader is not None:
+                await log_reader
 
 
-async def _started(process: asyncio.subprocess.Process, began: float) -> NodeProcess:
+async def _wait_for_address(process: asyncio.subprocess.Process, started_at: float) -> NodeProcess:
     assert process.stderr is not None
-    while b"serving on" not in (text := await process.stderr.readline()):
-        if not text:
-            raise RuntimeError("the node ended as it started")
-    host, port = text.split()[-1].decode().rsplit(":", 1)
-    return NodeProcess(process, (host, int(port)), began)
+    while b"serving on" not in (line := await process.stderr.readline()):
+        if not line:
+            raise RuntimeError("the node exited before it logged its listening address")
+    host, port = line.split()[-1].decode().rsplit(":", 1)
+    return NodeProcess(process, (host, int(port)), started_at)
 
 
 @asynccontextmanager
-async def nodes(documents: list[dict[str, Any]], together: int) -> AsyncIterator[list[NodeProcess]]:
-    """As many nodes as documents, so many of them starting at once."""
-    gate = asyncio.Semaphore(together)
+async def running_nodes(
+    documents: list[dict[str, Any]], concurrent_starts: int
+) -> AsyncIterator[list[NodeProcess]]:
+    """Start a node for each configuration document, and yield all of them once they are ready.
+
+    At most `concurrent_starts` nodes are starting at any time.
+    """
+    start_slots = asyncio.Semaphore(concurrent_starts)
     async with AsyncExitStack() as stack:
 
         async def enter(document: dict[str, Any]) -> NodeProcess:
-            async with gate:
-                return await stack.enter_async_context(node(document))
+            async with start_slots:
+                return await stack.enter_async_context(running_node(document))
 
         async with asyncio.TaskGroup() as group:
             tasks = [group.create_task(enter(document)) for document in documents]
@@ -202,50 +236,63 @@
 
 
 @asynccontextmanager
-async def servers(delay_ms: float) -> AsyncIterator[int]:
-    """Stand-in servers with this service time; their port."""
+async def running_servers(service_time_ms: float) -> AsyncIterator[int]:
+    """Start the stand-in servers (see `scale.real.standins`), and yield the port that all of them share."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "scale.real.standins",
-        str(delay_ms),
+        str(service_time_ms),
         cwd=ROOT,
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
     )
     try:
         assert process.stdout is not None
-        yield int(await asyncio.wait_for(process.stdout.readline(), START_WITHIN))
+        yield int(await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_SECONDS))
     finally:
         if process.returncode is None:
             process.kill()
         await process.wait()
 
 
-async def counts(port: int) -> dict[str, float]:
-    """What the stand-in servers have seen: connections accepted and open, requests."""
+async def fetch_counts(port: int) -> dict[str, float]:
+    """Fetch the counters of the stand-in servers: connections accepted and open, requests, addresses."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(b"GET /counts HTTP/1.1\r\nHost: stand-in\r\n\r\n")
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().partition(b"content-length:")[2].split()[0])
-        found: dict[str, float] = json.loads(await reader.readexactly(length))
-        return found
+        counters: dict[str, float] = json.loads(await reader.readexactly(length))
+        return counters
     finally:
         writer.close()
 
 
-async def load(address: tuple[str, int], begin: float, seconds: float, **how: Any) -> dict[str, list[float]]:
-    """Runs one load to its end: `rate`, or `clients` (see scale.real.load); a list for each field."""
-    plan = {"host": address[0], "port": address[1], "begin": begin, "seconds": seconds, "seed": 1, **how}
+async def run_load(
+    address: tuple[str, int], begin: float, seconds: float, **plan_fields: Any
+) -> dict[str, list[float]]:
+    """Run a load generator to its end, and return the fields of its sample, one list for each.
+
+    `begin` is in seconds of the monotonic clock; `plan_fields` are the further fields of the plan that
+    `scale.real.load` describes. Raises TimeoutError.
+    """
+    plan = {
+        "host": address[0],
+        "port": address[1],
+        "begin": begin,
+        "seconds": seconds,
+        "seed": 1,
+        **plan_fields,
+    }
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "scale.real.load", json.dumps(plan), cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
     try:
-        left = begin - monotonic() + seconds + START_WITHIN
-        output, _ = await asyncio.wait_for(process.communicate(), left)
-        found: dict[str, list[float]] = json.loads(output)
-        return found
+        timeout_seconds = begin - monotonic() + seconds + START_TIMEOUT_SECONDS
+        output, _ = await asyncio.wait_for(process.communicate(), timeout_seconds)
+        sample: dict[str, list[float]] = json.loads(output)
+        return sample
     finally:
         if process.returncode is None:
             process.kill()
--- a/scale/real/requests.py
+++ b/scale/real/requests.py
@@ -1,4 +1,4 @@
-"""A node's requests: time added, processor time, and connections to servers, while the list changes."""
+"""Measures a node's requests, with and without list changes: added response time, CPU time, connections."""
 
 from __future__ import annotations
 
@@ -12,347 +12,430 @@
 import numpy as np
 
 from scale.real.plan import (
-    ADDED_P99,
-    CHANGE_EVERY,
-    DELAY_MS,
+    CHANGE_INTERVAL_SECONDS,
+    MAX_ADDED_P99_MS,
+    MAX_SERVER_CONNECTION_COUNT,
     PERCENTILES,
-    RATE,
-    SERVER_CONNECTIONS,
+    REQUESTS_PER_SECOND,
+    SERVICE_TIME_MS,
     Plan,
     Report,
 )
 from scale.real.processes import (
-    IDLE_CLOSE,
-    NODES,
-    SECOND,
-    SOCKETS,
+    DESCRIPTOR_COUNT,
+    IDLE_TIMEOUT_NS,
+    NODE_COUNT,
+    SECOND_NS,
     NodeProcess,
     configuration,
-    counts,
-    load,
-    node,
-    servers,
+    fetch_counts,
+    run_load,
+    running_node,
+    running_servers,
+)
+from scale.real.standins import DIRECT_ADDRESS, Agent, entry
+from scale.real.worst import (
+    CHANGE_GAP_SECONDS,
+    UNBATCHED_CHANGES_NOTE,
+    describe_worst_minute,
+    push_zone_outage,
+    with_state,
 )
-from scale.real.standins import DIRECT, Agent, entry
-from scale.real.worst import UNGATHERED, WORST_GAP, flipped, tell_bursts, worst_minute
 
-HEAD = 0.4  # s for a load's process to start
+LOAD_START_SECONDS = 0.4  # allowed for the process of a load generator to start
 
-Times = np.ndarray[Any, np.dtype[np.float64]]  # ms, shape (requests,)
-Chosen = np.ndarray[Any, np.dtype[np.bool_]]  # shape (requests,)
-Sample = dict[str, list[float]]  # a load's, one list for each field
+ResponseTimes = np.ndarray[Any, np.dtype[np.float64]]
+"""Response times in ms, shape (requests,)."""
+RequestMask = np.ndarray[Any, np.dtype[np.bool_]]
+"""Selection of requests, shape (requests,)."""
+Sample = dict[str, list[float]]
+"""The results of a load: the fields of `scale.real.load.Sample`, one value a request in each list."""
 
 
 @dataclass
-class Moment:
-    """What had been spent and seen by then."""
+class CounterReading:
+    """Counters of a node and of the stand-in servers at one time."""
 
-    at: float  # monotonic s
-    cpu: float  # s
-    waited: float  # s, for a core
-    seen: dict[str, float]  # by the servers
+    read_at: float  # in seconds of the monotonic clock
+    cpu_seconds: float  # processor time of the node
+    cpu_wait_seconds: float  # for which the node's threads waited for a core
+    server_counters: dict[str, float]  # of all stand-in servers; see `scale.real.standins.Counts`
 
     @classmethod
-    async def now(cls, process: NodeProcess, port: int) -> Moment:
-        return cls(monotonic(), process.cpu(), process.waited(), await counts(port))
+    async def read(cls, process: NodeProcess, port: int) -> CounterReading:
+        """Read the counters of a node, and of the stand-in servers at a port."""
+        return cls(monotonic(), process.cpu_seconds(), process.cpu_wait_seconds(), await fetch_counts(port))
 
 
 @dataclass
 class Phase:
-    """A stretch of a load: what its requests met, and what the node spent."""
+    """Measurements between two counter readings: response times, and the node's resource usage."""
 
-    ms: Times  # of each request through the node
-    direct: Times  # of each request past it
-    refused: float  # share without a 200
-    cpu_us: float  # of the node, per request
-    core: float  # share of a core that the node took
-    waited: float  # share of the time for which it had none, for all that others run on this machine
-    dials: float  # per request
-    connections: float  # to servers, at the end
-    met: float  # distinct servers until the end, since the node's start
+    response_ms: ResponseTimes  # of the requests through the node
+    direct_ms: ResponseTimes  # of the requests that go to a stand-in server without the node
+    failed_ratio: float  # requests through the node without a 200 response
+    cpu_us_per_request: float  # processor time of the node
+    core_ratio: float  # processor time of the node in relation to one core
+    cpu_wait_ratio: float  # of the time, for which the node waited for a core that other processes used
+    dials_per_request: float  # connections that the node opened to servers
+    open_connections: float  # to servers, at the end
+    reached_servers: float  # distinct servers that got a request since the node's start
 
 
 @dataclass
 class Traffic:
-    """Two loads at the same time: through the node and past it."""
-
-    through: Sample
-    direct: Sample
-    begin: float  # monotonic s
-
-    def stretch(self, since: Moment, until: Moment) -> Phase:
-        chosen = self._chosen(self.through, since, until)
-        status = np.array(self.through["status"])[chosen]
-        number = max(1, len(status))
-        spent = until.cpu - since.cpu
+    """The results of two loads at the same time: through the node, and directly to a stand-in server."""
+
+    node_sample: Sample
+    direct_sample: Sample
+    begin: float  # of both loads, in seconds of the monotonic clock
+
+    def phase_between(self, start: CounterReading, end: CounterReading) -> Phase:
+        """Return the measurements for the requests that were sent between two readings."""
+        mask = self._sent_between(self.node_sample, start, end)
+        status = np.array(self.node_sample["status"])[mask]
+        request_count = max(1, len(status))
+        cpu_seconds = end.cpu_seconds - start.cpu_seconds
         return Phase(
-            np.array(self.through["ms"])[chosen],
-            np.array(self.direct["ms"])[self._chosen(self.direct, since, until)],
+            np.array(self.node_sample["ms"])[mask],
+            np.array(self.direct_sample["ms"])[self._sent_between(self.direct_sample, start, end)],
             float((status != 200).mean()) if len(status) else 1.0,
-            spent / number * 1e6,
-            spent / (until.at - since.at),
-            (until.waited - since.waited) / (until.at - since.at),
-            (until.seen["accepted"] - since.seen["accepted"]) / number,
-            until.seen["open"],
-            until.seen["addresses"],
+            cpu_seconds / request_count * 1e6,
+            cpu_seconds / (end.read_at - start.read_at),
+            (end.cpu_wait_seconds - start.cpu_wait_seconds) / (end.read_at - start.read_at),
+            (end.server_counters["accepted"] - start.server_counters["accepted"]) / request_count,
+            end.server_counters["open"],
+            end.server_counters["addresses"],
         )
 
-    def _chosen(self, sample: Sample, since: Moment, until: Moment) -> Chosen:
-        at = np.array(sample["at"]) + self.begin
-        return (at >= since.at) & (at < until.at)
+    def _sent_between(self, sample: Sample, start: CounterReading, end: CounterReading) -> RequestMask:
+        sent_at = np.array(sample["at"]) + self.begin
+        return (sent_at >= start.read_at) & (sent_at < end.read_at)
 
-    def late_ms(self) -> float:
-        """Of the driver, 99 in 100."""
-        return float(np.percentile(self.through["late_ms"] + self.direct["late_ms"], 99))
+    def driver_delay_p99_ms(self) -> float:
+        """Return the 99th percentile of the load generators' own delay in sending, in ms."""
+        return float(np.percentile(self.node_sample["late_ms"] + self.direct_sample["late_ms"], 99))
 
 
-async def reach(at: float) -> None:
-    await asyncio.sleep(max(0.0, at - monotonic()))
+async def sleep_until(at_seconds: float) -> None:
+    """Sleep until a time of the monotonic clock."""
+    await asyncio.sleep(max(0.0, at_seconds - monotonic()))
 
 
 @dataclass
-class DataRun:
-    """One list size: what the requests met under each condition."""
-
-    size: int
-    sockets: int  # descriptors of the node
-    late_ms: float  # of the driver, 99 in 100
-    quiet: list[Phase]  # repeated
-    mean: Phase
-    worst: Phase
-    closed: Phase
-    rss: float  # MB, after all of it
-
-
-async def data_run(size: int, plan: Plan, sockets: int, alone: asyncio.Semaphore) -> DataRun:
-    """With and without changes of the list, then as fast as it goes, which a run does `alone`."""
+class RequestRun:
+    """The measurements of a node with one list size under each condition."""
+
+    size: int  # servers in the list
+    descriptor_count: int  # file descriptors of the node
+    driver_delay_p99_ms: float  # of the load generators; see `Traffic.driver_delay_p99_ms`
+    quiet: list[Phase]  # repetitions without a change of the list
+    mean_rate: Phase  # the complete window, with one change of the list: the day's mean rate
+    worst: Phase  # the changes of the worst minute
+    saturated: Phase  # closed loop
+    rss_mb: float  # after all loads
+
+
+async def measure_requests(
+    size: int, plan: Plan, descriptor_count: int, saturation_lock: asyncio.Semaphore
+) -> RequestRun:
+    """Start a node with a list of this size, and measure it under each condition.
+
+    The list first stays as it is, and then changes; last, a closed loop sends requests as fast as they are
+    answered. Only one run at a time has its closed loop, under `saturation_lock`.
+    """
     async with (
-        servers(DELAY_MS) as port,
+        running_servers(SERVICE_TIME_MS) as port,
         Agent([entry(index, port) for index in range(size)]) as agent,
-        node(configuration(agent, agent.entries(), sockets)) as process,
+        running_node(configuration(agent, agent.entries(), descriptor_count)) as process,
     ):
-        traffic, moments = await open_loop(process, agent, port, plan)
-        await process.settle()
-        async with alone:
-            closed = await closed_loop(process, port, plan)
-        rss = process.rss()
-    return DataRun(
+        traffic, readings = await run_open_loop(process, agent, port, plan)
+        await process.wait_until_idle()
+        async with saturation_lock:
+            saturated = await run_closed_loop(process, port, plan)
+        rss_mb = process.rss_mb()
+    return RequestRun(
         size,
-        sockets,
-        traffic.late_ms(),
-        [traffic.stretch(*pair) for pair in pairwise(moments[:-2])],
-        traffic.stretch(moments[0], moments[-2]),
-        traffic.stretch(moments[-2], moments[-1]),
-        closed,
-        rss,
+        descriptor_count,
+        traffic.driver_delay_p99_ms(),
+        [traffic.phase_between(*pair) for pair in pairwise(readings[:-2])],
+        traffic.phase_between(readings[0], readings[-2]),
+        traffic.phase_between(readings[-2], readings[-1]),
+        saturated,
+        rss_mb,
     )
 
 
-async def open_loop(
+async def run_open_loop(
     process: NodeProcess, agent: Agent, port: int, plan: Plan
-) -> tuple[Traffic, list[Moment]]:
-    """The loads, and the moments between their stretches: repeats without a change, until the end of the
-    window with one, and until a zone is lost and back."""
+) -> tuple[Traffic, list[CounterReading]]:
+    """Run loads at the node's mean request rate, and return them with the readings between their phases.
+
+    The phases are the repetitions without a change of the list in the first half of the window, then its
+    second half, which begins with one change, and last the removal of a zone and its return.
+    """
     entries = agent.entries()
-    worst = 2 * (plan.bursts * WORST_GAP + plan.pause) + plan.settle
-    begin = monotonic() + HEAD
-    whole = plan.warm + plan.window + worst + HEAD
+    worst_seconds = (
+        2 * (plan.zone_batch_count * CHANGE_GAP_SECONDS + plan.pause_seconds) + plan.settle_seconds
+    )
+    begin = monotonic() + LOAD_START_SECONDS
+    load_seconds = plan.warm_up_seconds + plan.window_seconds + worst_seconds + LOAD_START_SECONDS
     async with asyncio.TaskGroup() as group:
-        through = group.create_task(load(process.address, begin, whole, rate=RATE))
-        direct = group.create_task(load((DIRECT, port), begin, whole, rate=RATE, seed=2))
-        await reach(begin + plan.warm)
-        moments = [await Moment.now(process, port)]
-        for part in range(plan.repeats):
-            await reach(moments[0].at + plan.window / 2 * (part + 1) / plan.repeats)
-            moments.append(await Moment.now(process, port))
-        agent.change(flipped(entries[:1], "Terminating", 0))
-        await reach(moments[0].at + plan.window)
-        moments.append(await Moment.now(process, port))
-        await tell_bursts(agent, entries, plan)
-        await asyncio.sleep(plan.settle)
-        moments.append(await Moment.now(process, port))
-    return Traffic(through.result(), direct.result(), begin), moments
-
-
-async def closed_loop(process: NodeProcess, port: int, plan: Plan) -> Phase:
-    """As many clients past the node, then through it."""
-    past = await load((DIRECT, port), monotonic() + HEAD, plan.closed, clients=plan.clients)
-    begin = monotonic() + HEAD
-    before = await Moment.now(process, port)
-    sample = await load(process.address, begin, plan.closed, clients=plan.clients)
-    after = await Moment.now(process, port)
-    before.at, after.at = begin, begin + plan.closed
-    found = Traffic(sample, past, begin).stretch(before, after)
-    found.direct = np.array(past["ms"])
-    return found
-
-
-P99_REQUESTS = 1000  # in a stretch: ten of them lie above their 99th percentile
-DIALS_MOST = 0.1  # per request, while its servers fit a node's descriptors
-WAITED = "ready to run with no core free: high where others use this machine, whose time then shows as added"
-UNSUBSET = "missing: subsets of the list by service and zone that fit a node's descriptors"
-
-
-def added(one: Phase, part: float) -> float:
-    """ms that the node adds at this percentile."""
-    return float(np.percentile(one.ms, part) - np.percentile(one.direct, part))
-
-
-def p99_bound(phases: Sequence[Phase]) -> float | None:
-    """ms that may be added for 99 in 100; None where so few requests were sent that one of them decides."""
-    return ADDED_P99 if all(len(one.ms) >= P99_REQUESTS for one in phases) else None
-
-
-def added_over_a_minute(run: DataRun) -> float:
-    """ms that the node adds for 99 in 100, over a minute that holds the worst stretch, the rest quiet."""
-    through, direct = (
-        weighted(one, np.concatenate(quiet))
-        for one, quiet in (
-            (run.worst.ms, [other.ms for other in run.quiet]),
-            (run.worst.direct, [other.direct for other in run.quiet]),
+        node_sample = group.create_task(
+            run_load(process.address, begin, load_seconds, rate=REQUESTS_PER_SECOND)
+        )
+        direct_sample = group.create_task(
+            run_load((DIRECT_ADDRESS, port), begin, load_seconds, rate=REQUESTS_PER_SECOND, seed=2)
         )
+        await sleep_until(begin + plan.warm_up_seconds)
+        readings = [await CounterReading.read(process, port)]
+        for repetition in range(plan.repeats):
+            await sleep_until(readings[0].read_at + plan.window_seconds / 2 * (repetition + 1) / plan.repeats)
+            readings.append(await CounterReading.read(process, port))
+        agent.push_change(with_state(entries[:1], "Terminating", 0))
+        await sleep_until(readings[0].read_at + plan.window_seconds)
+        readings.append(await CounterReading.read(process, port))
+        await push_zone_outage(agent, entries, plan)
+        await asyncio.sleep(plan.settle_seconds)
+        readings.append(await CounterReading.read(process, port))
+    return Traffic(node_sample.result(), direct_sample.result(), begin), readings
+
+
+async def run_closed_loop(process: NodeProcess, port: int, plan: Plan) -> Phase:
+    """Run a closed loop directly to a stand-in server, and then one with as many clients through the node."""
+    direct_sample = await run_load(
+        (DIRECT_ADDRESS, port),
+        monotonic() + LOAD_START_SECONDS,
+        plan.closed_loop_seconds,
+        clients=plan.closed_loop_clients,
     )
-    return through - direct
+    begin = monotonic() + LOAD_START_SECONDS
+    before = await CounterReading.read(process, port)
+    sample = await run_load(
+        process.address, begin, plan.closed_loop_seconds, clients=plan.closed_loop_clients
+    )
+    after = await CounterReading.read(process, port)
+    before.read_at, after.read_at = begin, begin + plan.closed_loop_seconds
+    phase = Traffic(sample, direct_sample, begin).phase_between(before, after)
+    phase.direct_ms = np.array(direct_sample["ms"])
+    return phase
+
+
+MIN_P99_REQUEST_COUNT = 1000  # of a phase, so that ten of them are above its 99th percentile
+MAX_DIALS_PER_REQUEST = 0.1  # as long as the connections to all its servers fit a node's descriptors
+CPU_WAIT_NOTE = (
+    "ready to run with no core free: high where others use this machine, whose time then shows as added"
+)
+MISSING_SUBSETS_NOTE = "missing: subsets of the list by service and zone that fit a node's descriptors"
+
 
+def added_ms(phase: Phase, percentile: float) -> float:
+    """Return how much the node adds to a percentile of the response time, in ms.
 
-def weighted(stretch: Times, quiet: Times) -> float:
-    """The 99th percentile over a minute of requests: the stretch's, and quiet ones for the rest of it."""
-    rest = max(0.0, 60 * RATE - len(stretch)) / len(quiet)
-    weights = np.concatenate([np.ones(len(stretch)), np.full(len(quiet), rest)])
-    ms = np.concatenate([stretch, quiet])
-    return float(np.percentile(ms, 99, weights=weights, method="inverted_cdf"))
+    It is the difference between the percentiles of the requests through the node and of the direct ones.
+    """
+    return float(np.percentile(phase.response_ms, percentile) - np.percentile(phase.direct_ms, percentile))
+
+
+def p99_bound_ms(phases: Sequence[Phase]) -> float | None:
+    """Return the bound on what the node adds to the 99th percentile, in ms.
+
+    It is None where a phase has so few requests that a single one determines the percentile.
+    """
+    return (
+        MAX_ADDED_P99_MS if all(len(phase.response_ms) >= MIN_P99_REQUEST_COUNT for phase in phases) else None
+    )
 
 
-def report_data(report: Report, plan: Plan, run: DataRun, idle: float) -> None:
-    """`idle`: share of a core that the node takes without requests, at this size."""
-    size, tag = run.size, "" if run.sockets == SOCKETS else f".{run.sockets}_descriptors"
+def added_p99_over_minute_ms(run: RequestRun) -> float:
+    """Return what the node adds to the 99th percentile over a minute with the worst phase, in ms.
+
+    The rest of the minute is without a change of the list.
+    """
+    through_node_ms, direct_ms = (
+        minute_p99_ms(times, np.concatenate(quiet))
+        for times, quiet in (
+            (run.worst.response_ms, [other.response_ms for other in run.quiet]),
+            (run.worst.direct_ms, [other.direct_ms for other in run.quiet]),
+        )
+    )
+    return through_node_ms - direct_ms
+
+
+def minute_p99_ms(worst: ResponseTimes, quiet: ResponseTimes) -> float:
+    """Return the 99th percentile over a minute of requests, in ms.
+
+    The worst ones count once each; the quiet ones are weighted so that together they are the rest of the
+    minute's requests.
+    """
+    quiet_weight = max(0.0, 60 * REQUESTS_PER_SECOND - len(worst)) / len(quiet)
+    weights = np.concatenate([np.ones(len(worst)), np.full(len(quiet), quiet_weight)])
+    response_ms = np.concatenate([worst, quiet])
+    return float(np.percentile(response_ms, 99, weights=weights, method="inverted_cdf"))
+
+
+def report_requests(report: Report, plan: Plan, run: RequestRun, idle_ratio: float) -> None:
+    """Add the figures of a run.
+
+    `idle_ratio` is the processor time of a node with this list but without requests, in relation to one core.
+    """
+    size, tag = (
+        run.size,
+        "" if run.descriptor_count == DESCRIPTOR_COUNT else f".{run.descriptor_count}_descriptors",
+    )
     setup = (
-        f"{RATE:.0f} requests a second at random times, each with a key of its own, through a node with "
-        f"{run.sockets} descriptors, less the same past it at the same time; {DELAY_MS:.0f} ms of service, "
-        f"driver late by {run.late_ms:.1f} ms for 99 in 100"
+        f"{REQUESTS_PER_SECOND:.0f} requests a second at random times, each with a key of its own, "
+        f"through a node with {run.descriptor_count} descriptors, less the same past it at the same time; "
+        f"{SERVICE_TIME_MS:.0f} ms of service, "
+        f"driver late by {run.driver_delay_p99_ms:.1f} ms for 99 in 100"
     )
-    worst = f"the stretch of it in which {worst_minute(plan)}; {UNGATHERED}"
-    dials = f"{np.median([one.dials for one in run.quiet]):.2f} dials a request"
-    if run.quiet[-1].dials > DIALS_MOST:
-        dials += f"; {UNSUBSET}"
+    worst_note = f"the stretch of it in which {describe_worst_minute(plan)}; {UNBATCHED_CHANGES_NOTE}"
+    dials_note = f"{np.median([phase.dials_per_request for phase in run.quiet]):.2f} dials a request"
+    if run.quiet[-1].dials_per_request > MAX_DIALS_PER_REQUEST:
+        dials_note += f"; {MISSING_SUBSETS_NOTE}"
     conditions = {
-        "quiet": (run.quiet, f"no change of the list; {dials}"),
-        "mean_rate": ([run.mean], f"one change in {CHANGE_EVERY:.0f} s, the day's mean; {dials}"),
-        "worst_minute": ([run.worst], worst),
+        "quiet": (run.quiet, f"no change of the list; {dials_note}"),
+        "mean_rate": (
+            [run.mean_rate],
+            f"one change in {CHANGE_INTERVAL_SECONDS:.0f} s, the day's mean; {dials_note}",
+        ),
+        "worst_minute": ([run.worst], worst_note),
     }
-    for condition, (phases, what) in conditions.items():
-        waits = [100 * one.waited for one in phases]
-        waited = f"it waited {max(waits):.1f}% of the time for a core"
-        for name, part in PERCENTILES.items():
-            report.median(
+    for condition, (phases, description) in conditions.items():
+        wait_percents = [100 * phase.cpu_wait_ratio for phase in phases]
+        cpu_wait_note = f"it waited {max(wait_percents):.1f}% of the time for a core"
+        for name, percentile in PERCENTILES.items():
+            report.add_median(
                 f"node.added_{name}.{condition}{tag}",
                 size,
-                [added(one, part) for one in phases],
+                [added_ms(phase, percentile) for phase in phases],
                 "ms",
-                f"{what}; {setup}; {waited}",
-                p99_bound(phases) if name == "p99" else None,
+                f"{description}; {setup}; {cpu_wait_note}",
+                p99_bound_ms(phases) if name == "p99" else None,
             )
-        report.median(
+        report.add_median(
             f"node.cpu.{condition}{tag}",
             size,
-            [one.cpu_us for one in phases],
+            [phase.cpu_us_per_request for phase in phases],
             "us/request",
-            f"all of the node's processor time by its requests; {what}; {setup}",
+            f"all of the node's processor time by its requests; {description}; {setup}",
+        )
+        report.add_median(
+            f"node.waited.{condition}{tag}", size, wait_percents, "% of the time", CPU_WAIT_NOTE
         )
-        report.median(f"node.waited.{condition}{tag}", size, waits, "% of the time", WAITED)
-        unserved = [100 * one.refused for one in phases]
-        report.median(f"node.unserved.{condition}{tag}", size, unserved, "%", what)
-    minute = added_over_a_minute(run)
+        failed_percents = [100 * phase.failed_ratio for phase in phases]
+        report.add_median(f"node.unserved.{condition}{tag}", size, failed_percents, "%", description)
+    minute_p99_added_ms = added_p99_over_minute_ms(run)
     report.add(
         f"node.added_p99.whole_worst_minute{tag}",
         size,
-        minute,
+        minute_p99_added_ms,
         "ms",
-        f"{worst}, the rest of 60 s as without changes; {setup}",
-        p99_bound([*run.quiet, run.worst]),
+        f"{worst_note}, the rest of 60 s as without changes; {setup}",
+        p99_bound_ms([*run.quiet, run.worst]),
         calculated=True,
     )
-    report_connections(report, run, idle, tag, setup)
+    report_connections(report, run, idle_ratio, tag, setup)
     report_saturated(report, plan, run, tag)
 
 
-def report_connections(report: Report, run: DataRun, idle: float, tag: str, setup: str) -> None:
+def report_connections(report: Report, run: RequestRun, idle_ratio: float, tag: str, setup: str) -> None:
+    """Add the figures on connections to servers, and on processor time less that of an idle node.
+
+    `tag` is appended to the names of the figures, and `setup` describes the run.
+    """
     size = run.size
-    report.median(
+    report.add_median(
         f"node.cpu_above_idle.quiet{tag}",
         size,
-        [one.cpu_us - idle / RATE * 1e6 for one in run.quiet],
+        [phase.cpu_us_per_request - idle_ratio / REQUESTS_PER_SECOND * 1e6 for phase in run.quiet],
         "us/request",
         f"less what it takes without requests; {setup}",
     )
-    report.median(
+    report.add_median(
         f"node.dials{tag}",
         size,
-        [one.dials for one in run.quiet],
+        [phase.dials_per_request for phase in run.quiet],
         "dials/request",
-        f"opened for a request; servers close what is idle for {IDLE_CLOSE // SECOND} s, and the node has "
-        f"45% of its descriptors for servers; {UNSUBSET}; {setup}",
+        f"opened for a request; servers close what is idle for {IDLE_TIMEOUT_NS // SECOND_NS} s, "
+        f"and the node has 45% of its descriptors for servers; {MISSING_SUBSETS_NOTE}; {setup}",
     )
-    rates = [one.dials * RATE for one in run.quiet]
-    report.median(f"node.dial_rate{tag}", size, rates, "dials/s", "dials by request times the rate")
-    report.median(
+    dial_rates = [phase.dials_per_request * REQUESTS_PER_SECOND for phase in run.quiet]
+    report.add_median(f"node.dial_rate{tag}", size, dial_rates, "dials/s", "dials by request times the rate")
+    report.add_median(
         f"node.connections{tag}",
         size,
-        [one.connections for one in run.quiet],
+        [phase.open_connections for phase in run.quiet],
         "connections",
-        f"to servers, held at once; of {run.sockets} descriptors the node keeps 45% for servers",
+        f"to servers, held at once; of {run.descriptor_count} descriptors the node keeps 45% for servers",
     )
     report.add(
         f"node.servers_met{tag}",
         size,
-        run.quiet[-1].met,
+        run.quiet[-1].reached_servers,
         "servers",
         "distinct ones that got a request before the first change; keys go to the node's own zone first",
     )
 
 
-def report_saturated(report: Report, plan: Plan, run: DataRun, tag: str) -> None:
-    size, closed = run.size, run.closed
-    what = f"closed loop of {plan.clients} clients"
-    report.add(f"node.core.saturated{tag}", size, 100 * closed.core, "% of a core", what)
-    report.add(f"node.rate.saturated{tag}", size, closed.core / closed.cpu_us * 1e6, "requests/s", what)
-    report.add(f"node.cpu.saturated{tag}", size, closed.cpu_us, "us/request", what)
-    report.add(f"node.unserved.saturated{tag}", size, 100 * closed.refused, "%", what)
-    for name, part in PERCENTILES.items():
-        above = added(closed, part)
-        report.add(f"node.added_{name}.saturated{tag}", size, above, "ms", f"{what}; less the same direct")
-    report.add(f"node.rss.after_load{tag}", size, run.rss, "MB", "resident, after the loads above")
+def report_saturated(report: Report, plan: Plan, run: RequestRun, tag: str) -> None:
+    """Add the figures of the closed loop; `tag` is appended to their names."""
+    size, saturated = run.size, run.saturated
+    description = f"closed loop of {plan.closed_loop_clients} clients"
+    report.add(f"node.core.saturated{tag}", size, 100 * saturated.core_ratio, "% of a core", description)
+    report.add(
+        f"node.rate.saturated{tag}",
+        size,
+        saturated.core_ratio / saturated.cpu_us_per_request * 1e6,
+        "requests/s",
+        description,
+    )
+    report.add(f"node.cpu.saturated{tag}", size, saturated.cpu_us_per_request, "us/request", description)
+    report.add(f"node.unserved.saturated{tag}", size, 100 * saturated.failed_ratio, "%", description)
+    for name, percentile in PERCENTILES.items():
+        added = added_ms(saturated, percentile)
+        report.add(
+            f"node.added_{name}.saturated{tag}", size, added, "ms", f"{description}; less the same direct"
+        )
+    report.add(f"node.rss.after_load{tag}", size, run.rss_mb, "MB", "resident, after the loads above")
 
 
 async def data(report: Report, plan: Plan) -> None:
-    """A node's requests, several sizes at once; the idle share has been measured by then."""
-    gate, alone = asyncio.Semaphore(plan.together), asyncio.Semaphore(1)
+    """Measure the requests of nodes with each list size, several at the same time, and add the figures.
+
+    The report must already have the processor time of idle nodes, `node.idle_cpu`. The name of this function
+    is a part of a figure's name.
+    """
+    run_slots, saturation_lock = asyncio.Semaphore(plan.concurrent_runs), asyncio.Semaphore(1)
 
-    async def one(size: int, sockets: int) -> DataRun:
-        async with gate:
-            return await data_run(size, plan, sockets, alone)
+    async def run_one(size: int, descriptor_count: int) -> RequestRun:
+        async with run_slots:
+            return await measure_requests(size, plan, descriptor_count, saturation_lock)
 
-    jobs = [(size, SOCKETS) for size in reversed(plan.sizes)]
-    jobs += [(plan.sizes[-1], sockets) for sockets in plan.descriptors]
+    jobs = [(size, DESCRIPTOR_COUNT) for size in reversed(plan.server_counts)]
+    jobs += [(plan.server_counts[-1], descriptor_count) for descriptor_count in plan.descriptor_limits]
     async with asyncio.TaskGroup() as group:
-        tasks = [group.create_task(one(*job)) for job in jobs]
-    for run in sorted((task.result() for task in tasks), key=lambda run: (run.sockets, run.size)):
-        report_data(report, plan, run, report.value("node.idle_cpu", run.size) / 100)
-    for tag in ("", *(f".{sockets}_descriptors" for sockets in plan.descriptors)):
-        report_server(report, plan.sizes[-1], tag)
+        tasks = [group.create_task(run_one(*job)) for job in jobs]
+    for run in sorted((task.result() for task in tasks), key=lambda run: (run.descriptor_count, run.size)):
+        report_requests(report, plan, run, report.value("node.idle_cpu", run.size) / 100)
+    for tag in ("", *(f".{descriptor_count}_descriptors" for descriptor_count in plan.descriptor_limits)):
+        report_server(report, plan.server_counts[-1], tag)
     for name in ("node.cpu.quiet", "node.rss.after_load"):
-        report.slope(name, "servers", "us/request/server" if "cpu" in name else "MB/server", "")
+        report.add_slope(name, "servers", "us/request/server" if "cpu" in name else "MB/server", "")
 
 
 def report_server(report: Report, size: int, tag: str = "") -> None:
-    """What a quote server meets of all nodes."""
-    why = f"for {NODES} nodes that spread their connections evenly over {size} servers{tag}"
-    held = report.value(f"node.connections{tag}", size) * NODES / size
-    dials = report.value(f"node.dial_rate{tag}", size) * NODES / size
-    share = 100 * dials / (NODES * RATE / size)
+    """Add the figures of the connections of one quote server to all nodes, calculated from those of one node.
+
+    `tag` is the suffix of the names of the figures of that node.
+    """
+    why = f"for {NODE_COUNT} nodes that spread their connections evenly over {size} servers{tag}"
+    connections_per_server = report.value(f"node.connections{tag}", size) * NODE_COUNT / size
+    dials_per_second = report.value(f"node.dial_rate{tag}", size) * NODE_COUNT / size
+    new_connection_percent = 100 * dials_per_second / (NODE_COUNT * REQUESTS_PER_SECOND / size)
     for name, value, unit, bound in (
-        ("connections", held, "connections", SERVER_CONNECTIONS),
-        ("handshakes", dials, "handshakes/s", None),
-        ("cold_requests", share, "% on a new connection", None),
+        ("connections", connections_per_server, "connections", MAX_SERVER_CONNECTION_COUNT),
+        ("handshakes", dials_per_second, "handshakes/s", None),
+        ("cold_requests", new_connection_percent, "% on a new connection", None),
     ):
         report.add(f"server.{name}{tag}", size, value, unit, why, bound, calculated=True)
--- a/scale/real/worst.py
+++ b/scale/real/worst.py
@@ -1,40 +1,55 @@
-"""The worst minute: a zone of servers is lost and comes back."""
+"""The worst minute of endpoint list changes: a zone's servers are removed and added again."""
 
 from __future__ import annotations
 
 import asyncio
 
 from scale.real.plan import Plan
-from scale.real.standins import ZONES, Agent, Entry
+from scale.real.standins import ZONE_COUNT, Agent, Entry
 
-WORST_GAP = 0.1  # s between the changes by which a zone is lost and is back
-UNGATHERED = "each change is taken by itself: those that come together are not gathered"
+CHANGE_GAP_SECONDS = 0.1  # between two changes that remove or add a part of the zone
+UNBATCHED_CHANGES_NOTE = "each change is taken by itself: those that come together are not gathered"
 
 
-def flipped(entries: list[Entry], state: str, version: int) -> list[Entry]:
-    """These entries in another state. One that is back has started anew, long enough ago to be warm."""
+def with_state(entries: list[Entry], state: str, version: int) -> list[Entry]:
+    """Return copies of entries with another state.
+
+    A ready entry gets a new start time, `version` seconds after the epoch: the server has restarted, but long
+    enough ago that its slow start is over.
+    """
     return [
-        one | {"state": state, "started_ms": 1000 * version if state == "Ready" else 0} for one in entries
+        entry | {"state": state, "started_ms": 1000 * version if state == "Ready" else 0} for entry in entries
     ]
 
 
-def zone_bursts(entries: list[Entry], bursts: int) -> tuple[list[list[Entry]], list[list[Entry]]]:
-    """The worst minute: a zone's servers gone, then back; each list is one change."""
-    zone = [one for one in entries if one["zone"] == f"z{ZONES - 1}"]
-    parts = [zone[part::bursts] for part in range(min(bursts, len(zone)))]
-    return [flipped(part, "Gone", 0) for part in parts], [flipped(part, "Ready", 1) for part in parts]
+def zone_outage_changes(
+    entries: list[Entry], batch_count: int
+) -> tuple[list[list[Entry]], list[list[Entry]]]:
+    """Return the changes that remove the last zone's servers, and those that add them again.
+
+    Each change is a list of entries; a batch without servers is left out.
+    """
+    zone = [entry for entry in entries if entry["zone"] == f"z{ZONE_COUNT - 1}"]
+    batches = [zone[first::batch_count] for first in range(min(batch_count, len(zone)))]
+    return [with_state(batch, "Gone", 0) for batch in batches], [
+        with_state(batch, "Ready", 1) for batch in batches
+    ]
 
 
-async def tell_bursts(agent: Agent, entries: list[Entry], plan: Plan) -> int:
-    """Tell of the worst minute's changes; bytes that each watch got."""
-    told = 0
-    for half in zone_bursts(entries, plan.bursts):
-        for burst in half:
-            told += agent.change(burst)
-            await asyncio.sleep(WORST_GAP)
-        await asyncio.sleep(plan.pause)
-    return told
+async def push_zone_outage(agent: Agent, entries: list[Entry], plan: Plan) -> int:
+    """Push the changes of the worst minute to all watches; return the bytes that each watch got."""
+    pushed_bytes = 0
+    for changes in zone_outage_changes(entries, plan.zone_batch_count):
+        for change in changes:
+            pushed_bytes += agent.push_change(change)
+            await asyncio.sleep(CHANGE_GAP_SECONDS)
+        await asyncio.sleep(plan.pause_seconds)
+    return pushed_bytes
 
 
-def worst_minute(plan: Plan) -> str:
-    return f"a ninth of the list lost and back in {2 * plan.bursts} changes, {WORST_GAP} s apart"
+def describe_worst_minute(plan: Plan) -> str:
+    """Return the description of the worst minute in the figures."""
+    return (
+        f"a ninth of the list lost and back in {2 * plan.zone_batch_count} changes, "
+        f"{CHANGE_GAP_SECONDS} s apart"
+    )
