--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -1,7 +1,8 @@
-"""`python -m scale`: run the parts one after another, print their figures, end non-zero if one is not met.
+"""Capacity measurements: `python -m scale` runs the parts one after another and prints their figures.
 
-Each part is a module with `measure(smoke: bool) -> list[dict]`. It runs in a process of its own, so that its
-memory and its time are its own and its crash is one failure among the figures of the others.
+The exit code is 1 if a figure is above its bound or a part failed. Each part is a module with
+`measure(smoke: bool) -> list[dict]`. It runs in a process of its own, so that its memory and time can be
+measured and limited, and its crash does not affect the figures of the other parts.
 """
 
 from __future__ import annotations
@@ -23,55 +24,59 @@
 from scale import figures
 from scale.figures import Figure, FigureError
 
-PARTS = {  # and the seconds that each may take
+PART_TIMEOUT_SECONDS = {  # the parts in the order of their runs
     "fleet": 150.0,
     "candidates": 200.0,
     "lists": 60.0,
     "loopback": 250.0,
 }
-SMOKE_S = 60.0  # that each may take at the smallest size
-ALL_S = 600.0  # that all may take together
-MEMORY = 8 << 30  # bytes, of a part with all its processes
-LOOK_S = 0.5  # between two looks at a part's memory
-PAGE = resource.getpagesize()
-PAGE_OF_FIGURES = Path(__file__).parent.parent / "docs" / "CAPACITY.md"
+SMOKE_TIMEOUT_SECONDS = 60.0  # of each part at the smallest sizes
+TOTAL_TIMEOUT_SECONDS = 600.0  # of all parts together
+MAX_MEMORY_BYTES = 8 << 30  # of a part with all its processes
+POLL_INTERVAL_SECONDS = 0.5  # between two checks of a part's memory and time
+PAGE_BYTES = resource.getpagesize()
+CAPACITY_PAGE = Path(__file__).parent.parent / "docs" / "CAPACITY.md"
+"""The page that has to name each missing mechanism whose bound is not met."""
 
 
 class PartError(Exception):
-    """A part that ended without figures; the text names it and says why."""
+    """A part failed; the message names the part and the reason."""
 
 
-def processes() -> dict[int, tuple[int, int]]:
-    """Each process of the machine: its parent and its resident bytes."""
+def list_processes() -> dict[int, tuple[int, int]]:
+    """Return the parent's process id and the resident bytes of each process of the machine, by process id."""
     found = {}
     for path in Path("/proc").glob("[0-9]*/stat"):
         try:
             fields = path.read_text().rpartition(")")[2].split()
         except OSError:
-            continue  # ended meanwhile
-        found[int(path.parent.name)] = int(fields[1]), int(fields[21]) * PAGE
+            continue  # the process has ended meanwhile
+        found[int(path.parent.name)] = int(fields[1]), int(fields[21]) * PAGE_BYTES
     return found
 
 
-def family(pid: int) -> dict[int, int]:
-    """A process and all that it started, with the resident bytes of each; shared pages count for each."""
-    found = processes()
+def process_tree(pid: int) -> dict[int, int]:
+    """Return the resident bytes of a process and of all its descendants, by process id.
+
+    Pages that several processes share are counted for each of them.
+    """
+    found = list_processes()
     members = {pid: found[pid][1]} if pid in found else {}
-    grown = True
-    while grown:
-        born = {
+    has_grown = True
+    while has_grown:
+        children = {
             child: size
             for child, (parent, size) in found.items()
             if parent in members and child not in members
         }
-        members |= born
-        grown = bool(born)
+        members |= children
+        has_grown = bool(children)
     return members
 
 
-def end(members: Sequence[int]) -> None:
-    """End these processes, each by its id."""
-    for pid in members:
+def kill_processes(pids: Sequence[int]) -> None:
+    """Send SIGKILL to processes, each by its id."""
+    for pid in pids:
         try:
             os.kill(pid, signal.SIGKILL)
         except ProcessLookupError:
@@ -79,107 +84,135 @@
 
 
 def run_part(name: str, smoke: bool, seconds: float) -> tuple[list[Figure], int]:
-    """The figures of one part and the most bytes that it held; raises PartError."""
+    """Run a part; return its figures, and the highest number of bytes that its processes used together.
+
+    Raises PartError if the part takes more than `seconds`, uses more than `MAX_MEMORY_BYTES`, crashes, or
+    returns malformed figures.
+    """
     with TemporaryDirectory() as folder:
         path = Path(folder, "figures.json")
         command = [sys.executable, "-m", "scale", "--child", name, "--json", str(path)]
         child = subprocess.Popen(command + ["--smoke"] * smoke)
-        begun, most = monotonic(), 0
+        started_at, peak_bytes = monotonic(), 0
         while True:
             try:
-                code = child.wait(LOOK_S)
+                exit_code = child.wait(POLL_INTERVAL_SECONDS)
                 break
             except subprocess.TimeoutExpired:
-                members = family(child.pid)
-            most = max(most, sum(members.values()))
-            over = f"took more than {seconds:.0f} s" * (monotonic() - begun > seconds)
-            if most > MEMORY:
-                over = f"held {most >> 20} MB"
-            if over:
-                end(list(members))
+                members = process_tree(child.pid)
+            peak_bytes = max(peak_bytes, sum(members.values()))
+            exceeded = f"took more than {seconds:.0f} s" * (monotonic() - started_at > seconds)
+            if peak_bytes > MAX_MEMORY_BYTES:
+                exceeded = f"held {peak_bytes >> 20} MB"
+            if exceeded:
+                kill_processes(list(members))
                 child.wait()
-                raise PartError(f"part {name} {over}")
-        if code or not path.exists():
-            raise PartError(f"part {name} ended with code {code}")
+                raise PartError(f"part {name} {exceeded}")
+        if exit_code or not path.exists():
+            raise PartError(f"part {name} ended with code {exit_code}")
         document = json.loads(path.read_text())
         try:
-            return [figures.figure(name, entry) for entry in document["figures"]], max(most, document["most"])
-        except FigureError as problem:
-            raise PartError(str(problem)) from None
+            return [figures.parse_figure(name, entry) for entry in document["figures"]], max(
+                peak_bytes, document["most"]
+            )
+        except FigureError as error:
+            raise PartError(str(error)) from None
 
 
 def run_child(name: str, smoke: bool, path: Path) -> None:
-    """In the part's own process: measure, and leave the figures in a file."""
+    """Measure a part in this process, which is the part's own, and write the figures to a file."""
     entries = importlib.import_module(f"scale.{name}").measure(smoke)
-    most = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss << 10
-    path.write_text(json.dumps({"figures": entries, "most": most}))
+    peak_bytes = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss << 10
+    path.write_text(json.dumps({"figures": entries, "most": peak_bytes}))
 
 
-def there() -> list[str]:
-    """The parts whose modules exist."""
-    return [name for name in PARTS if importlib.util.find_spec(f"scale.{name}") is not None]
+def available_parts() -> list[str]:
+    """Return the names of the parts whose modules exist."""
+    return [name for name in PART_TIMEOUT_SECONDS if importlib.util.find_spec(f"scale.{name}") is not None]
 
 
 def run(names: Sequence[str], smoke: bool) -> tuple[list[Figure], list[str]]:
-    """All figures of these parts, and what failed."""
+    """Run parts one after another; return all their figures, and the messages of the parts that failed."""
     found: list[Figure] = []
     failures: list[str] = []
-    begun = monotonic()
+    started_at = monotonic()
     for name in names:
-        since = monotonic()
-        left = ALL_S - (since - begun)
+        part_started_at = monotonic()
+        remaining_seconds = TOTAL_TIMEOUT_SECONDS - (part_started_at - started_at)
         try:
-            part, most = run_part(name, smoke, min(left, SMOKE_S if smoke else PARTS[name]))
-        except PartError as problem:
-            failures.append(str(problem))
-            print(f"FAILED: {problem}", flush=True)
+            part, peak_bytes = run_part(
+                name,
+                smoke,
+                min(remaining_seconds, SMOKE_TIMEOUT_SECONDS if smoke else PART_TIMEOUT_SECONDS[name]),
+            )
+        except PartError as error:
+            failures.append(str(error))
+            print(f"FAILED: {error}", flush=True)
             continue
         size = "smoke" if smoke else "full"
         part += [
-            Figure(name, "time of the part", size, monotonic() - since, "s", PARTS[name]),
-            Figure(name, "memory of the part, all its processes", size, most / 1e6, "MB", MEMORY / 1e6),
+            Figure(
+                name, "time of the part", size, monotonic() - part_started_at, "s", PART_TIMEOUT_SECONDS[name]
+            ),
+            Figure(
+                name,
+                "memory of the part, all its processes",
+                size,
+                peak_bytes / 1e6,
+                "MB",
+                MAX_MEMORY_BYTES / 1e6,
+            ),
         ]
-        print(figures.table(part), flush=True)
+        print(figures.format_table(part), flush=True)
         found += part
     if len(names) > 1:
-        all_of_it = Figure("all", "time", "smoke" if smoke else "full", monotonic() - begun, "s", ALL_S)
-        print(figures.table([all_of_it]), flush=True)
-        found.append(all_of_it)
+        total_time = Figure(
+            "all", "time", "smoke" if smoke else "full", monotonic() - started_at, "s", TOTAL_TIMEOUT_SECONDS
+        )
+        print(figures.format_table([total_time]), flush=True)
+        found.append(total_time)
     return found, failures
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Run the command line; return the exit code."""
     parser = argparse.ArgumentParser("python -m scale", description=__doc__)
-    parser.add_argument("--smoke", action="store_true", help="smallest sizes, some seconds")
-    parser.add_argument("--part", choices=PARTS, action="append", help="only this one; may come again")
+    parser.add_argument("--smoke", action="store_true", help="run the smallest sizes, within seconds")
+    parser.add_argument(
+        "--part", choices=PART_TIMEOUT_SECONDS, action="append", help="run only this part; may be repeated"
+    )
     parser.add_argument("--json", type=Path, help="write the figures to this file")
-    parser.add_argument("--rows", type=Path, help="write them as rows of docs/CAPACITY.md to this file")
-    parser.add_argument("--child", choices=PARTS, help=argparse.SUPPRESS)
-    told = parser.parse_args(arguments)
-    if told.child:
-        run_child(told.child, told.smoke, told.json)
+    parser.add_argument(
+        "--rows", type=Path, help="write the figures as table rows of docs/CAPACITY.md to this file"
+    )
+    parser.add_argument("--child", choices=PART_TIMEOUT_SECONDS, help=argparse.SUPPRESS)
+    options = parser.parse_args(arguments)
+    if options.child:
+        run_child(options.child, options.smoke, options.json)
         return 0
-    names = told.part or there()
-    if absent := [name for name in PARTS if name not in names]:
-        print(f"not run: {', '.join(absent)}")
-    found, failures = run(names, told.smoke)
-    if told.json:
-        figures.write_json(told.json, found, failures, told.smoke)
-    if told.rows:
-        told.rows.write_text(figures.markdown(found) + "\n")
-    # A bound that no mechanism can meet yet is missed all the same, and the page has to say so.
-    page = PAGE_OF_FIGURES.read_text().lower() if PAGE_OF_FIGURES.exists() else ""
+    names = options.part or available_parts()
+    if missing_parts := [name for name in PART_TIMEOUT_SECONDS if name not in names]:
+        print(f"not run: {', '.join(missing_parts)}")
+    found, failures = run(names, options.smoke)
+    if options.json:
+        figures.write_json(options.json, found, failures, options.smoke)
+    if options.rows:
+        options.rows.write_text(figures.format_markdown(found) + "\n")
+    # A bound that cannot be met without a missing mechanism does not fail the run
+    # if the page names that mechanism.
+    page_text = CAPACITY_PAGE.read_text().lower() if CAPACITY_PAGE.exists() else ""
     missed = []
-    for one in [one for one in found if one.is_met() is False]:
-        owned = bool(one.missing()) and one.missing().lower() in page
-        if not owned:
-            missed.append(one)
+    for figure in [figure for figure in found if figure.is_met() is False]:
+        is_documented = bool(figure.missing()) and figure.missing().lower() in page_text
+        if not is_documented:
+            missed.append(figure)
         print(
-            f"{'MISSING' if owned else 'NOT MET'}: {one.part}: {one.name} at {one.size}: "
-            f"{figures.number(one.value)} {one.unit}, bound {figures.number(one.bound)}"
+            f"{'MISSING' if is_documented else 'NOT MET'}: {figure.part}: {figure.name} at {figure.size}: "
+            f"{figures.format_number(figure.value)} {figure.unit}, "
+            f"bound {figures.format_number(figure.bound)}"
         )
-    for text in failures:
-        print(f"FAILED: {text}")
+    for failure in failures:
+        print(f"FAILED: {failure}")
     print(f"{len(found)} figures, {len(missed)} not met, {len(failures)} parts failed")
     return 1 if missed or failures else 0
 
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -19,7 +19,7 @@
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 from scale import world
-from scale.figures import fit
+from scale.figures import fit_line
 
 SIZES = ((30, 60), (30, 1_000), (30, 3_600), (30, 7_200), (200, 1_000), (660, 1_000))  # nodes, servers
 SMOKE_SIZES = ((9, 60),)
@@ -273,7 +273,7 @@
 
 
 def _memory_slope(memory: list[tuple[float, float]]) -> Row:
-    line = fit(memory)
+    line = fit_line(memory)
     return {
         "name": "memory of a hollow node, slope",
         "size": "servers 60 to 7200",
@@ -281,5 +281,5 @@
         "unit": "B a server",
         "spread": line.slope_error,
         "bound": None,
-        "why": f"{SLOPE_NODE_COUNT} nodes; entries of the list are shared; starts at {line.start:.0f} B",
+        "why": f"{SLOPE_NODE_COUNT} nodes; entries of the list are shared; starts at {line.intercept:.0f} B",
     }
