--- a/moleport/policy/__init__.py
+++ b/moleport/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of the node, pure: timed events in, actions out."""
+"""The decision module of a node: handles timed events and returns actions, without any I/O."""
 
 from moleport.policy.balancer import Balancer
 
--- a/moleport/policy/actions.py
+++ b/moleport/policy/actions.py
@@ -1,4 +1,4 @@
-"""The actions of the event being handled, and tasks that a later event runs."""
+"""Buffer for the actions of the current event, and tasks that are deferred to a later event."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from moleport.policy import interface as api
 
 Task = Callable[[int], None]
-"""Gets the time of the event that runs it, in ns."""
+"""A task, which is called with the time of the event that runs it, in ns."""
 
 
 class ActionBuffer:
@@ -18,27 +18,27 @@
         self.pending: list[api.Action] = []
 
     def emit(self, action: api.Action) -> None:
-        """Append an action to those of the current event."""
+        """Append an action to the actions of the current event."""
         self.pending.append(action)
 
 
 class DeferredTasks:
-    """Tasks by due time, in the order of deferral where several are due at once."""
+    """A queue of tasks, ordered by due time and, for equal times, by the order of deferral."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Task]] = []  # due time in ns, sequence number, task
         self._sequence_number = 0
 
     def defer(self, due_ns: int, task: Task) -> None:
-        """Run the task with the first event at or after this time.
+        """Defer a task to the first event at or after `due_ns`.
 
-        Where no event may come by then, the caller sets a timer too.
+        If no event may occur at that time, the caller also has to set a timer.
         """
         self._sequence_number += 1
         heappush(self._heap, (due_ns, self._sequence_number, task))
 
     def run_due(self, now_ns: int) -> None:
-        """Run all tasks that are due."""
+        """Run all tasks that are due, in order."""
         while self._heap and self._heap[0][0] <= now_ns:
             _, _, task = heappop(self._heap)
             task(now_ns)
--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -1,25 +1,25 @@
-"""Admission: the cap on attempts in flight for each class, and which requests are rejected.
+"""Admission control: the cap on attempts in flight for each class, and which requests are rejected.
 
-The unit of a cap is attempts in flight at this node, of all classes together. Beyond the cap of a class, the
-requests of this class are rejected. Each class's circuit breaker gives its threshold, in the same unit. The
-cap of a class is the lowest of
+A cap is a number of attempts in flight at this node, of all classes together. Once the
+cap of a class is reached, further requests of this class are rejected. The circuit breaker of each class
+computes a threshold in the same unit. The cap of a class is the loss factor times the lowest of
 
 - its own threshold
 - the threshold of each class with more than HIGHER_PRIORITY_MULTIPLE times its priority
 - RESERVED_RATIO times the threshold of each class with more than MUCH_HIGHER_PRIORITY_MULTIPLE times its
-  priority, so that the latter find capacity left
+  priority, which reserves capacity for those classes
 
-times a loss factor of 2 * (1 - loss rate), at most 1, which lets overloaded endpoints recover where more than
-half of the attempts on fresh connections are lost. The priority of a class is its priority weight for a unit
-of work: divided by its typical response time, unless the settings' `weight_by_work` says that it already
-counts for work.
+The loss factor is 2 * (1 - loss rate), at most 1. It lets overloaded endpoints recover when more than half of
+the attempts on fresh connections are lost. The priority of a class is its priority weight per unit of work:
+the weight divided by the typical response time of the class, or the weight itself if the setting
+`weight_by_work` says that it is already per unit of work.
 
-A request is admitted below its class's cap. For one that its client marks as a retry, and for one beyond its
-tenant's quota, only a part of the cap counts. Regardless of the cap, MIN_IN_FLIGHT_REQUESTS of each class for
-each endpoint are admitted, as no cap could rise again without samples. All figures for each endpoint are
-those of all nodes together, divided by the settings' `node_count`.
+A request is admitted if it fits under the cap of its class. Only a part of the cap applies to a request that
+its client marks as a retry, and to one that exceeds its tenant's quota. MIN_IN_FLIGHT_REQUESTS of each class
+per endpoint are admitted regardless of the cap, as no cap could rise again without samples. Figures per
+endpoint are for all nodes together; each node divides them by the setting `node_count`.
 
-Failure that this is for: overload, in which the requests of the highest priority have to be answered in time.
+This guards against overload, in which the requests of the highest priority have to be answered in time.
 """
 
 from __future__ import annotations
@@ -39,21 +39,21 @@
 from moleport.policy.slow_start import SlowStart
 from moleport.policy.state import ActiveRequest, AttemptRecord, EndpointStatus
 
-INITIAL_IN_FLIGHT_REQUESTS = 10.0  # for each endpoint: the threshold until the first window with samples
-MIN_IN_FLIGHT_REQUESTS = 0.3  # for each endpoint, of one class
+INITIAL_IN_FLIGHT_REQUESTS = 10.0  # per endpoint: the threshold of a class without samples
+MIN_IN_FLIGHT_REQUESTS = 0.3  # per endpoint, of one class
 HIGHER_PRIORITY_MULTIPLE = 1.2
 MUCH_HIGHER_PRIORITY_MULTIPLE = 2.0
 RESERVED_RATIO = 0.8
-CLIENT_RETRY_RATIO = 0.5  # a part of its latency objective has passed already
-OVER_QUOTA_RATIO = 0.5
+CLIENT_RETRY_RATIO = 0.5  # of the cap: a part of the latency objective has passed before a client's retry
+OVER_QUOTA_RATIO = 0.5  # of the cap
 LOSS_FACTOR_MULTIPLE = 2.0
-FAILED_SAMPLE_FACTOR = 2.0  # of the elapsed time after a time-out, of the objective after a rejection
+FAILED_SAMPLE_FACTOR = 2.0  # times the elapsed time for a time-out, times the objective for a rejection
 RESPONSE_TIME_EWMA_WEIGHT = 0.05
-MAX_SAMPLED_WAITING_RATIO = 2.0  # a slower endpoint says nothing of the fleet's load
+MAX_SAMPLED_WAITING_RATIO = 2.0  # a slower endpoint is no evidence of the load of the fleet
 
 
 class AdmissionControl:
-    """Decides which requests are admitted, from the requests in flight and their response times."""
+    """Decides which requests are admitted, from the attempts in flight and their response times."""
 
     def __init__(
         self,
@@ -72,12 +72,14 @@
         self._deferred = deferred
         self._quotas = TenantQuotas(settings.tenants)
         self.in_flight = InFlight()
-        """Attempts of all classes in flight, and those released late after a time-out."""
+        """Attempts of all classes in flight, and those that are released with a delay after a time-out."""
         self._delayed_release_count = 0
-        self.breakers = [CircuitBreaker(one.latency_objective_ns) for one in settings.classes]
-        """By class index."""
+        self.breakers = [
+            CircuitBreaker(request_class.latency_objective_ns) for request_class in settings.classes
+        ]
+        """Circuit breakers by class index."""
         self.caps = [0.0] * len(settings.classes)
-        """By class index: attempts in flight, of all classes, at which requests of the class are rejected."""
+        """By class index, the attempts of all classes in flight from which on its requests are rejected."""
 
     def admits(self, now_ns: int, request: api.Request) -> bool:
         """Return whether a request that has just arrived is admitted."""
@@ -87,7 +89,7 @@
         return self.has_capacity(now_ns, request.class_index, ratio)
 
     def has_capacity(self, now_ns: int, class_index: int, cap_ratio: float = 1.0) -> bool:
-        """Return whether one more request of the class fits under this part of its cap."""
+        """Return whether one more request of the class fits under `cap_ratio` times the cap of the class."""
         if self.in_flight.update_and_check(now_ns, cap_ratio * self.caps[class_index]):
             return True
         min_in_flight = MIN_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
@@ -102,10 +104,10 @@
     def on_attempt_ended(
         self, now_ns: int, class_index: int, attempt: AttemptRecord, elapsed_ns: int
     ) -> None:
-        """Count an attempt as no longer in flight; after a time-out with a delay of its own duration.
+        """Count an attempt as no longer in flight; after a time-out, with a delay of the attempt's duration.
 
-        The delay is at most the latency objective. An endpoint may go on with a request after its time-out,
-        and would be overloaded by the next one.
+        The delay is at most the latency objective. An endpoint may continue to work on a request after the
+        time-out, and sending it the next request at once would overload it.
         """
         if attempt.result is not AttemptResult.TIMEOUT or attempt.status.ejected_until_ns:
             self._release(class_index, attempt.status, now_ns)
@@ -115,7 +117,7 @@
         self._deferred.defer(now_ns + delay_ns, partial(self._release_delayed, class_index, attempt.status))
 
     def attempts_in_flight(self) -> int:
-        """Return the number of attempts in flight, without those released late after a time-out."""
+        """Return the number of attempts in flight, without those that wait for their delayed release."""
         return self.in_flight.count - self._delayed_release_count
 
     def typical_ns(self, class_index: int) -> float:
@@ -125,7 +127,7 @@
     def is_early_timeout(self, active: ActiveRequest, result: AttemptResult, elapsed_ns: int) -> bool:
         """Return whether an attempt timed out before an answer could be expected.
 
-        Retries have little time left; such a time-out says nothing of the endpoint.
+        A retry may have little time left; its time-out is then no evidence about the endpoint.
         """
         if result is not AttemptResult.TIMEOUT:
             return False
@@ -135,10 +137,11 @@
     def record_response(
         self, now_ns: int, active: ActiveRequest, attempt: AttemptRecord, elapsed_ns: int, is_retried: bool
     ) -> None:
-        """Take the time of an attempt that has ended as a sample of its class.
+        """Add the response time of an attempt that has ended to the samples of its class.
 
-        Not sampled are endpoints that are ejected, warming up or much slower than the others: their response
-        times would lower the cap for all. A rejection counts as far beyond the objective if it is final.
+        Endpoints that are ejected, warming up or much slower than the others are not sampled, as their
+        response times would lower the cap for all endpoints. A rejection that is not retried is sampled as
+        FAILED_SAMPLE_FACTOR times the latency objective.
         """
         status = attempt.status
         if status.ejected_until_ns or self._slow_start.capacity_ratio(now_ns, status.endpoint) < 1.0:
@@ -170,26 +173,28 @@
         return INITIAL_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
 
     def update_caps(self) -> None:
-        """Update the caps from the thresholds; due after each window and each change of the endpoints."""
+        """Update the caps from the thresholds, after each window and each change of the endpoints."""
         loss_factor = min(1.0, LOSS_FACTOR_MULTIPLE * (1.0 - self._connections.loss_rate))
         initial_threshold = self.initial_threshold()
         thresholds = [breaker.threshold(initial_threshold) for breaker in self.breakers]
         priorities = [self.priority(index) for index in range(len(thresholds))]
-        # By falling priority, with the lowest threshold so far: comparing all pairs costs too much.
-        order = sorted(range(len(priorities)), key=priorities.__getitem__, reverse=True)
-        lowest = list(accumulate((thresholds[index] for index in order), min))
-        negated = [-priorities[index] for index in order]
+        # Classes by descending priority, with running minima of thresholds: comparing all pairs is too slow.
+        by_priority = sorted(range(len(priorities)), key=priorities.__getitem__, reverse=True)
+        lowest_thresholds = list(accumulate((thresholds[index] for index in by_priority), min))
+        negated_priorities = [-priorities[index] for index in by_priority]
         for index, cap in enumerate(thresholds):
-            higher_count = bisect_left(negated, -HIGHER_PRIORITY_MULTIPLE * priorities[index])
+            higher_count = bisect_left(negated_priorities, -HIGHER_PRIORITY_MULTIPLE * priorities[index])
             if higher_count:
-                cap = min(cap, lowest[higher_count - 1])
-            much_higher_count = bisect_left(negated, -MUCH_HIGHER_PRIORITY_MULTIPLE * priorities[index])
+                cap = min(cap, lowest_thresholds[higher_count - 1])
+            much_higher_count = bisect_left(
+                negated_priorities, -MUCH_HIGHER_PRIORITY_MULTIPLE * priorities[index]
+            )
             if much_higher_count:
-                cap = min(cap, RESERVED_RATIO * lowest[much_higher_count - 1])
+                cap = min(cap, RESERVED_RATIO * lowest_thresholds[much_higher_count - 1])
             self.caps[index] = loss_factor * cap
 
     def priority(self, class_index: int) -> float:
-        """Return the priority weight of a class for a unit of work."""
+        """Return the priority weight of a class per unit of work."""
         weight = self._settings.classes[class_index].priority_weight
         if self._settings.weight_by_work:
             return weight
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -1,17 +1,20 @@
-"""Routes the events of interface.py to the rules, and wires the rules together; holds no rule itself.
+"""Dispatches the events of interface.py to the modules that decide on them, in a fixed order.
 
-- Arrival of a request: slow_start and hot_keys count it; admission (quotas, circuit_breaker); then
-  key_ordering or at once selection; final_answers where it is rejected
-- Start of an attempt: connection_health, outlier_detection, slow_start, admission
-- End of an attempt: key_ordering (cooldown), connection_health, load_reports and slow_start, admission,
+This module constructs the others and contains no rule of its own. The modules that handle each event are
+
+- arrival of a request: slow_start and hot_keys (or endpoint_subset) count it; admission (quotas,
+  circuit_breaker) admits it; then key_ordering or directly selection; final_answers if it is rejected
+- start of an attempt: connection_health, outlier_detection, slow_start, admission
+- end of an attempt: key_ordering (cooldown), connection_health, load_reports and slow_start, admission,
   rejection_rates, outlier_detection; then retries and selection, admission (sample of the response time),
-  final_answers where no retry is allowed, and key_ordering (next request of the key)
-- Update of the endpoint list: discovery_polling (which also decides when to poll), endpoint_registry,
+  final_answers if no retry is allowed, and key_ordering (next request of the key)
+- update of the endpoint list: discovery_polling (which also decides when to poll), endpoint_registry,
   admission, slow_start
-- Disconnection of a client: final_answers, key_ordering
-- End of a window: admission, rejection_rates, hot_keys, hardware_types and slow_start update their rates
+- disconnection of a client: final_answers, key_ordering
+- end of a window: admission, endpoint_subset, rejection_rates, hot_keys, hardware_types and slow_start
+  update their rates
 
-What may be sent twice is decided by ActiveRequest in state.py.
+`ActiveRequest` in state.py decides whether a request may be sent more than once.
 """
 
 from __future__ import annotations
@@ -40,11 +43,11 @@
 from moleport.policy.state import ActiveRequest, AttemptRecord, EndpointStatus
 from moleport.policy.timing import WINDOW_NS, jittered_ns
 
-MIN_TIMEOUT_NS = 1
+MIN_TIMEOUT_NS = 1  # `Forward` reads 0 as no time limit
 
 
 class Balancer:
-    """One node's decisions: timed events in, actions out. It has no clock and does no input or output."""
+    """Makes the decisions of one node: returns actions for timed events, without a clock or any I/O."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._settings = settings
@@ -61,7 +64,7 @@
         self._outliers = outliers = OutlierDetector(endpoints, random)
         self._subset = subset = EndpointSubset(settings, endpoints, seed)
         self.notices = outliers.notices
-        """What the embedder may log; it takes what it has logged from the left."""
+        """Ejections and reinstatements, the oldest first; the caller removes each from the left to log it."""
         self._slow_start = slow_start = SlowStart(settings, random, endpoints, outliers, subset)
         self._registry = EndpointRegistry(endpoints, outliers, slow_start, load_reports)
         self._poller = DiscoveryPoller(settings, random, actions)
@@ -85,9 +88,9 @@
         )
 
     def start(self, now_ns: int) -> list[api.Action]:
-        """Return the first actions; the cached endpoint list follows as an event.
+        """Set the first timers, and return these actions; the caller passes the cached endpoint list later.
 
-        The windows of the nodes begin at random times, or all nodes would shed load at once.
+        The first window ends at a random time, as otherwise all nodes would shed load at the same time.
         """
         self._actions.pending = []
         window_ends_ns = now_ns + jittered_ns(self._random, WINDOW_NS, 0.0)
@@ -96,10 +99,10 @@
         return self._actions.pending
 
     def handle(self, now_ns: int, event: api.Event) -> list[api.Action]:
-        """Return the actions that an event leads to; times never decrease from event to event."""
+        """Return the actions for an event; `now_ns` must not decrease from one event to the next."""
         self._actions.pending = []
         if isinstance(event, api.ClientDisconnected):
-            self._close(event)  # ahead of deferred tasks, which answer what is open
+            self._close(event)  # before deferred tasks, which send final answers to open requests
         self._deferred.run_due(now_ns)
         if isinstance(event, api.Request):
             self._on_request(now_ns, event)
@@ -114,7 +117,7 @@
         return self._actions.pending
 
     def attempts_in_flight(self) -> int:
-        """Return how many attempts are in flight by the counts that the caps are compared with."""
+        """Return the number of attempts in flight, from the counts that are compared with the caps."""
         return self._admission.attempts_in_flight()
 
     def _on_request(self, now_ns: int, request: api.Request) -> None:
@@ -146,8 +149,8 @@
         class_index = active.request.class_index
         # The order matters: admission reads ejected_until_ns before outlier detection changes it.
         self._admission.on_attempt_ended(now_ns, class_index, attempt, outcome.elapsed_ns)
-        shown = outcome.result if is_conclusive else AttemptResult.CANCELLED
-        self._record_result(now_ns, attempt.status, shown, class_index)
+        recorded_result = outcome.result if is_conclusive else AttemptResult.CANCELLED
+        self._record_result(now_ns, attempt.status, recorded_result, class_index)
         active.is_closed |= outcome.is_answered
         is_retried = not active.is_closed and self._retry(now_ns, active, outcome.result)
         if is_conclusive:
@@ -196,7 +199,7 @@
         self._actions.emit(api.SetTimer(now_ns + WINDOW_NS, TimerId.WINDOW_END))
 
     def _send_first(self, now_ns: int, active: ActiveRequest) -> bool:
-        """Send a request's first attempt; return False if no endpoint may be used."""
+        """Send the first attempt of a request; return False if no endpoint may be used."""
         status = self._selector.select(now_ns, active)
         if status is None:
             return False
@@ -206,7 +209,7 @@
         return True
 
     def _retry(self, now_ns: int, active: ActiveRequest, result: AttemptResult) -> bool:
-        """Return whether the request is in flight, after a further attempt if one is allowed."""
+        """Send a further attempt if none is in flight and one is allowed; return whether one is in flight."""
         if any(attempt.result is None for attempt in active.attempts):
             return True
         if not self._retries.may_retry(now_ns, active, result):
@@ -231,7 +234,7 @@
     def _record_evidence(
         self, now_ns: int, active: ActiveRequest, attempt: AttemptRecord, outcome: api.AttemptOutcome
     ) -> bool:
-        """Record what the outcome shows, and return whether it shows the state of the endpoint."""
+        """Record an outcome, and return whether its result is evidence about the endpoint itself."""
         is_lost_on_idle = self._connections.on_attempt_ended(now_ns, attempt)
         if outcome.result is AttemptResult.OK:
             self._load_reports.on_success(attempt.status)
@@ -251,7 +254,7 @@
         self._outliers.on_attempt_ended(now_ns, status, result)
 
     def _abandon_unsent(self, active: ActiveRequest, now_ns: int) -> None:
-        """Give a request that has not been sent its final answer."""
+        """Send the final answer of a request that is open and was never sent to an endpoint."""
         if not active.attempts and not active.is_closed:
             self._final_answers.finish(active)
         self._forget_if_complete(now_ns, active)
--- a/moleport/policy/candidate_index.py
+++ b/moleport/policy/candidate_index.py
@@ -1,4 +1,4 @@
-"""Zone-aware choice of candidates: endpoints of the node's own zone, for the keys that they can carry."""
+"""Zone-aware lookup of candidates: a key maps to an endpoint of the own zone, as its capacity allows."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class CandidateIndex(Generic[T]):
-    """The endpoint that a key leads to, among all endpoints or among those of the node's own zone.
+    """Maps keys to endpoints, among all endpoints or among those of the node's own zone.
 
-    The own zone takes the fraction of keys W * Z / T, at most 1: W is its weight, T that of all zones, and Z
-    the number of zones. It assumes that each zone has an equal part of the traffic, so that a zone that lost
-    endpoints is not overloaded by its own nodes.
+    The fraction of the keys that is assigned to the own zone is W * Z / T, at most 1, where W is its weight,
+    T the weight of all zones and Z the number of zones. This assumes that each zone has an equal part of the
+    traffic, and keeps a zone that lost endpoints from being overloaded by its own nodes.
     """
 
     def __init__(self, zone: int | None) -> None:
-        """Start without endpoints, on a node of this zone; None: it is not known."""
+        """Create an empty index for a node in this zone; None: the zone is not known."""
         self._own_zone = zone
         self._all_zones_grid: SlotGrid[T] = SlotGrid()
         self._own_zone_grid: SlotGrid[T] = SlotGrid()
-        self._zones: dict[bytes, int] = {}  # by endpoint
+        self._zones: dict[bytes, int] = {}  # by endpoint id
         self._endpoint_counts: dict[int, int] = {}  # by zone
-        self._own_zone_ratio = 0  # of HASH_RATIO_SCALE: the fraction of keys that the own zone takes
+        self._own_zone_ratio = 0  # fraction of the keys for the own zone, times HASH_RATIO_SCALE
 
     def __len__(self) -> int:
         """Return the number of endpoints."""
@@ -42,11 +42,11 @@
         return self._all_zones_grid.has_equal_weights()
 
     def own_zone_ratio(self) -> float:
-        """Return the fraction of the keys that the own zone takes, 0 to 1."""
+        """Return the fraction of the keys that is assigned to the own zone, 0 to 1."""
         return self._own_zone_ratio / HASH_RATIO_SCALE
 
     def update(self, changes: Mapping[bytes, tuple[int, float, T] | None]) -> None:
-        """Set zone, weight and value of the endpoints named; None removes an endpoint."""
+        """Set zone, weight and value of endpoints by id; None removes an endpoint."""
         own_zone_changes: dict[bytes, tuple[int, T] | None] = {}
         all_changes: dict[bytes, tuple[int, T] | None] = {}
         zones, counts, own_zone = self._zones, self._endpoint_counts, self._own_zone
@@ -73,9 +73,9 @@
         self._update_own_zone_ratio()
 
     def find(self, key_hash: int, prefer_own_zone: bool) -> T | None:
-        """Return the endpoint that a 64-bit hash of a key leads to; None if there is none.
+        """Return the endpoint that a 64-bit hash of a key maps to; None if there is none.
 
-        With `prefer_own_zone` it is one of the own zone, if the key is among those that the zone takes.
+        With `prefer_own_zone` it is an endpoint of the own zone, if the key is assigned to that zone.
         """
         if prefer_own_zone and (
             self._own_zone_ratio == HASH_RATIO_SCALE
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -1,25 +1,26 @@
 """Adaptive circuit breaker of one request class: how many attempts in flight meet its latency objective.
 
-At the end of each window, from the mean of this node's attempts in flight (all classes) and the samples of
-the class's response times:
+The threshold is updated at the end of each window, from the mean number of attempts of all classes in flight
+at this node (`in_flight`) and the response times of the class in the window (the samples):
 
     tail            = TAIL_QUANTILE of the samples
-    unloaded_tail   follows the tail, fast downwards and slowly upwards
+    unloaded_tail   is a smoothed tail that falls fast and rises slowly
     target          = min(objective, max(TARGET_RATIO * objective, HEADROOM_FACTOR * unloaded_tail))
     ns_per_request  = SMOOTHING_FACTOR * ns_per_request + (1 - SMOOTHING_FACTOR) * tail / in_flight
     threshold       = max(target / ns_per_request, PROVEN_RATIO * proven_in_flight)
 
-While endpoints report headroom, the objective itself replaces TARGET_RATIO * objective. A window
-within its target only changes ns_per_request if that raises the threshold: quiet windows would lower it and
-shed the next burst. `proven_in_flight` is the number lately carried within the target; it keeps the threshold
-from falling without end where all endpoints turn slow at once.
+While endpoints report headroom (load_reports), the objective itself replaces TARGET_RATIO * objective. A
+window whose tail is within the target changes ns_per_request only if that raises the threshold: otherwise
+quiet windows would lower it, and the next burst would be rejected. `proven_in_flight` is the highest number
+of attempts in flight that recently met the target. It bounds the threshold from below, which otherwise would
+keep falling when all endpoints become slow at once.
 
 Source: Saleh Sedghpour, Klein and Tordsson, "Service mesh circuit breaker: From panic button to performance
 management tool" (HAOC 2021), which smooths response time per request in flight in the same way; the window
 and the factors here are shorter, and the unloaded tail and the proven number are additions.
 
-Failure that this is for: endpoints that get more requests than they answer in time, so that none is answered
-in time.
+This guards against endpoints that get more requests than they can answer in time, so that none is answered in
+time.
 """
 
 from __future__ import annotations
@@ -29,38 +30,38 @@
 
 from moleport.policy.timing import WINDOW_NS
 
-SMOOTHING_FACTOR = 0.5  # weight of the earlier mean
-TAIL_QUANTILE = 0.85  # the few longest response times come from the requests themselves, not from load
+SMOOTHING_FACTOR = 0.5  # weight of the previous mean
+TAIL_QUANTILE = 0.85  # the longest response times are due to the requests themselves, not to load
 TARGET_RATIO = 0.7  # of the latency objective
-HEADROOM_FACTOR = 1.5  # no threshold can reach a target below the unloaded tail
-UNLOADED_FALL_RATIO = 0.2
-UNLOADED_RISE_RATIO = 0.01
-PROVEN_RATIO = 0.5
-PROVEN_DECAY_FACTOR = 0.99  # each window
-BURST_MULTIPLE = 2.0  # standard deviations of a Poisson number
+HEADROOM_FACTOR = 1.5  # a target below the unloaded tail would be missed at any threshold
+UNLOADED_FALL_RATIO = 0.2  # weight of a tail below the unloaded tail
+UNLOADED_RISE_RATIO = 0.01  # weight of a tail above the unloaded tail
+PROVEN_RATIO = 0.5  # of proven_in_flight
+PROVEN_DECAY_FACTOR = 0.99  # per window
+BURST_MULTIPLE = 2.0  # standard deviations of a Poisson distribution
 MIN_TAIL_NS = 1.0
 
 
 @dataclass(slots=True)
 class InFlight:
-    """Attempts in flight, now and in an exponentially weighted mean over one window."""
+    """Number of attempts in flight, and its exponentially weighted mean with a time constant of a window."""
 
     count: int = 0
     mean: float = 0.0
     changed_at_ns: int = 0
 
     def add(self, now_ns: int, change: int) -> None:
-        """Change the count, and bring the mean up to now."""
-        keep = exp((self.changed_at_ns - now_ns) / WINDOW_NS)
-        self.mean = keep * self.mean + (1.0 - keep) * self.count
+        """Update the mean up to now, then change the count."""
+        previous_weight = exp((self.changed_at_ns - now_ns) / WINDOW_NS)
+        self.mean = previous_weight * self.mean + (1.0 - previous_weight) * self.count
         self.count += change
         self.changed_at_ns = now_ns
 
     def update_and_check(self, now_ns: int, cap: float) -> bool:
-        """Bring the mean up to now, and return whether one more attempt fits under the cap.
+        """Update the mean up to now, and return whether one more attempt fits under the cap.
 
-        Where the cap is small, attempts that come together by chance may exceed it by a few standard
-        deviations while the mean is below it.
+        While the mean is below the cap, the count may exceed it by BURST_MULTIPLE standard deviations, as
+        attempts that start together by chance would otherwise be rejected where the cap is small.
         """
         self.add(now_ns, 0)
         if self.count + 1 <= cap:
@@ -75,24 +76,24 @@
     latency_objective_ns: int
     target_ns: float = 0.0
     unloaded_tail_ns: float = 0.0
-    """0: not known."""
+    """Smoothed tail of the response times without load; 0: not known."""
     ns_per_request: float = 0.0
-    """Tail of the response time for each attempt in flight; 0: not known."""
+    """Smoothed tail of the response times per attempt in flight; 0: not known."""
     proven_in_flight: float = 0.0
-    """Attempts of all classes in flight."""
+    """Highest number of attempts of all classes in flight that recently met the target."""
     typical_ns: float = 0.0
     """Smoothed median of the response times."""
     in_flight: InFlight = field(default_factory=InFlight)
     """Attempts of this class in flight."""
     samples_ns: list[float] = field(default_factory=list)
-    """Response times in this window."""
+    """Response times in the current window."""
 
     def __post_init__(self) -> None:
         self.target_ns = TARGET_RATIO * self.latency_objective_ns
         self.typical_ns = float(self.latency_objective_ns)
 
     def threshold(self, initial_threshold: float) -> float:
-        """Return how many attempts in flight meet the target; `initial_threshold` until that is known."""
+        """Return how many attempts in flight meet the target; `initial_threshold` before a first sample."""
         if not self.ns_per_request:
             return initial_threshold
         return max(self.target_ns / self.ns_per_request, PROVEN_RATIO * self.proven_in_flight)
@@ -120,10 +121,10 @@
 
     def _update_threshold(self, tail_ns: float, mean_in_flight: float, initial_threshold: float) -> None:
         is_within_target = tail_ns <= self.target_ns
-        carried = mean_in_flight if is_within_target else 0.0
-        self.proven_in_flight = max(PROVEN_DECAY_FACTOR * self.proven_in_flight, carried)
+        proven_in_window = mean_in_flight if is_within_target else 0.0
+        self.proven_in_flight = max(PROVEN_DECAY_FACTOR * self.proven_in_flight, proven_in_window)
         window_ns_per_request = tail_ns / mean_in_flight
         if is_within_target and self.target_ns / window_ns_per_request <= self.threshold(initial_threshold):
             return
-        before = self.ns_per_request or self.target_ns / max(1.0, initial_threshold)
-        self.ns_per_request = SMOOTHING_FACTOR * before + (1 - SMOOTHING_FACTOR) * window_ns_per_request
+        previous = self.ns_per_request or self.target_ns / max(1.0, initial_threshold)
+        self.ns_per_request = SMOOTHING_FACTOR * previous + (1 - SMOOTHING_FACTOR) * window_ns_per_request
--- a/moleport/policy/discovery_polling.py
+++ b/moleport/policy/discovery_polling.py
@@ -1,18 +1,18 @@
-"""When a node polls discovery for the endpoint list, and how long it waits after a failure.
+"""Polling of discovery for the endpoint list, with exponential backoff after failures.
 
-In the discovery mode `poll` a node opens a watch once it has started, and again after a watch has failed. The
-wait before a poll is drawn evenly from half of the backoff up to the whole, so that nodes that fail together
-do not poll together:
+In the discovery mode `poll` a node opens a watch after its start, and again after a watch has failed. The
+wait before a poll is uniformly distributed between half of the backoff and the whole backoff, so that nodes
+whose watches fail at the same time do not poll at the same time:
 
     backoff = min(INITIAL_BACKOFF_NS * 2 ** failures, max_backoff, poll interval)
     max_backoff = max(MIN_BACKOFF_NS, (NOTIFICATION_LIMIT_NS - POLL_TIMEOUT_NS - missed) / 2)
 
-`missed` is the time since the failed poll began, or WATCH_SILENCE_NS where a watch broke. With this bound,
-what was missed, the backoff and the next poll fit into the time within which a node has to be notified of a
-change; half of it, because a watch may end at once without bringing a list. Exponential backoff with jitter:
-https://aws.amazon.com/blogs/architecture/exponential-backoff-and-jitter/
+`missed` is the time since the failed poll began, or WATCH_SILENCE_NS if a watch broke. With this bound, the
+missed time, the backoff and the next poll fit into the time within which a node has to be notified of a
+change. It is divided by 2 because a watch may end at once without delivering a list, so that a second backoff
+follows. Source: https://aws.amazon.com/blogs/architecture/exponential-backoff-and-jitter/
 
-Failure that this is for: a discovery service that is slow, restarts, or is polled by all nodes at once.
+This guards against a discovery service that is slow, restarts, or is polled by all nodes at once.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 MIN_BACKOFF_NS = 250_000_000
 MAX_BACKOFF_DOUBLINGS = 4
 MIN_JITTER_RATIO = 0.5
-FIRST_POLL_RATIO = 0.5  # of the poll interval, within which a node first polls
+FIRST_POLL_RATIO = 0.5  # of the poll interval: the longest wait before the first poll
 NOTIFICATION_LIMIT_NS = 5_750_000_000  # nodes have to be notified of a change within 6 s
-POLL_TIMEOUT_NS = 2_500_000_000  # within which a poll has brought a list or has failed
-WATCH_SILENCE_NS = 3_000_000_000  # after which a silent watch counts as failed
+POLL_TIMEOUT_NS = 2_500_000_000  # within this time a poll delivers a list or fails
+WATCH_SILENCE_NS = 3_000_000_000  # a watch that is silent for this time counts as failed
 
 
 class DiscoveryPoller:
-    """Opens the watch of the endpoint list, and opens it again after failures."""
+    """Opens a watch of the endpoint list, and opens it again after a failure."""
 
     def __init__(self, settings: api.Settings, random: Random, actions: ActionBuffer) -> None:
         self._is_polling = settings.discovery_mode is api.DiscoveryMode.POLL
@@ -42,8 +42,8 @@
         self._random = random
         self._actions = actions
         self._is_watching = False
-        self._polled_at_ns: int | None = None  # None: no poll is unanswered
-        self._failure_count = 0  # polls and watches that failed in a row
+        self._polled_at_ns: int | None = None  # start of the poll in progress; None: no poll in progress
+        self._failure_count = 0  # consecutive failures of polls and watches
 
     def start(self, now_ns: int) -> None:
         """Set the timer of the first poll."""
@@ -62,7 +62,7 @@
         self._actions.emit(api.WatchEndpoints())
 
     def on_list(self) -> None:
-        """Note that discovery has sent a list or a change of it."""
+        """Record that discovery has sent the list or a change of it."""
         self._is_watching = True
         self._failure_count = 0
         self._polled_at_ns = None
@@ -77,7 +77,7 @@
         self._set_timer(now_ns, min(backoff_ns, max_backoff_ns, self._poll_interval_ns), MIN_JITTER_RATIO)
 
     def on_empty_list(self, now_ns: int) -> None:
-        """Set a timer earlier than the first poll's where the cached list has no ready endpoint."""
+        """Set an earlier timer, after a list without ready endpoints, unless a watch is open."""
         if self._is_polling and not self._is_watching:
             self._set_timer(now_ns, INITIAL_BACKOFF_NS, MIN_JITTER_RATIO)
 
--- a/moleport/policy/endpoint_registry.py
+++ b/moleport/policy/endpoint_registry.py
@@ -1,9 +1,10 @@
-"""Applies updates of the endpoint list to the set of endpoints.
+"""Registry of endpoints: applies updates of the endpoint list.
 
-A snapshot removes the endpoints that it leaves out; a delta changes those that it names. Only ready endpoints
-are candidates for requests. A new or restarted endpoint begins without failures and with the initial tokens
-of slow start. Weights outside of what hashing can represent are clamped, and one that is no positive finite
-number counts as 1. The cost of an update is that of the entries that changed.
+A cached list or a snapshot removes the endpoints that it does not contain; a delta changes only the endpoints
+that it contains. Only ready endpoints are candidates for requests. A new or restarted endpoint starts without
+failures and with the initial tokens of slow start. Weights outside the range of the hash table are clamped; a
+weight that is not a positive finite number counts as 1. The cost of an update grows with the number of
+entries that changed, not with the length of the list.
 """
 
 from __future__ import annotations
@@ -22,7 +23,9 @@
 from moleport.policy.state import EndpointStatus
 
 DEFAULT_WEIGHT = 1.0
-BULK_MULTIPLE = 50  # more new endpoints than one in so many are sorted in, fewer are inserted one by one
+BULK_MULTIPLE = (
+    50  # if more than one in 50 endpoints is new, the list is sorted again; fewer are inserted one by one
+)
 
 
 class EndpointRegistry:
@@ -39,10 +42,10 @@
         self._outliers = outliers
         self._slow_start = slow_start
         self._load_reports = load_reports
-        self._changed: dict[api.EndpointId, None] = {}  # by the update in progress
+        self._changed: dict[api.EndpointId, None] = {}  # endpoints changed by the current update
 
     def apply_update(self, now_ns: int, update: api.EndpointUpdate) -> None:
-        """Apply an update that holds entries."""
+        """Apply an update that contains entries; its kind must not be `FAILED`."""
         listed = {endpoint.id: endpoint for endpoint in update.endpoints}
         if update.kind is not EndpointUpdateKind.DELTA:
             self._remove_unlisted(listed)
@@ -51,7 +54,7 @@
         self._index_changed()
 
     def add_or_update(self, now_ns: int, endpoint: api.Endpoint) -> None:
-        """Enter one entry of the list."""
+        """Add or update the endpoint of one list entry."""
         endpoint = _with_valid_weight(endpoint)
         status = self._endpoints.by_id.get(endpoint.id)
         if status is None:
@@ -118,8 +121,10 @@
         self._endpoints.version += 1
         self._endpoints.candidates.update(
             {
-                one.endpoint.id: (one.endpoint.zone, one.endpoint.weight, one) if one.is_ready else None
-                for one in changed
+                status.endpoint.id: (
+                    (status.endpoint.zone, status.endpoint.weight, status) if status.is_ready else None
+                )
+                for status in changed
             }
         )
 
--- a/moleport/policy/endpoint_set.py
+++ b/moleport/policy/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoints that a node knows, as the rules look them up."""
+"""The endpoints that a node knows, indexed by id, by state and by hash."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class EndpointSet:
-    """Endpoints by id, those that are ready, and the index by hash. Owner: endpoint_registry."""
+    """All endpoints by id, the ready ones in order, and the ready ones by hash. Owner: endpoint_registry."""
 
     def __init__(self, zone: int | None) -> None:
         self.by_id: dict[api.EndpointId, EndpointStatus] = {}
         self.ready: list[EndpointStatus] = []
-        """Ordered by id; always the same list object."""
+        """The ready endpoints, ordered by id; always the same list object."""
         self.candidates: CandidateIndex[EndpointStatus] = CandidateIndex(zone)
         """The ready endpoints by hash of the key."""
         self.version = 0
-        """Grows with each change of the ready endpoints."""
+        """Number of updates applied so far; detects that the ready endpoints may have changed."""
--- a/moleport/policy/endpoint_subset.py
+++ b/moleport/policy/endpoint_subset.py
@@ -1,18 +1,20 @@
-"""Deterministic subset of the endpoints that a node uses for requests without keys.
+"""Deterministic subsetting: the endpoints that a node uses for requests without keys.
 
-A request without a key may go to any endpoint. In a large fleet each node that used all of them would open a
-connection for nearly each request, and would know little of each endpoint. So it uses an arc of a ring on
-which the ready endpoints stand by the hash of their ids, each as long as its weight:
+A request without a key may be sent to any endpoint. In a large fleet, a node that used all endpoints would
+open a connection for almost every request and would know little about each endpoint. So a node uses an arc of
+a ring. The ready endpoints are placed on the ring by the hash of their ids, each with a length in proportion
+to its weight:
 
     width = max(MIN_ENDPOINT_COUNT, ENDPOINTS_PER_REQUEST_RATIO * in_flight)       (endpoints)
-    arc   = width / ready endpoints, rounded to a multiple of 1 / node_count where that is not 0
+    arc   = width / ready endpoints, rounded to a multiple of 1 / node_count unless that is 0
     start = node_index / node_count
 
-with `in_flight` the node's attempts in flight, the highest mean of a window, decaying by DECAY_FACTOR in each
-later one. Each part of the ring then belongs to equally many arcs of one width. There is a second ring of the
-endpoints in the node's own zone; as nobody knows which nodes are in it, arcs start there at multiples of the
-golden ratio, which are spread evenly for blocks of node indices and for every n-th one. With no more ready
-endpoints than `width` there is no subset.
+where `in_flight` is the highest mean of the node's attempts in flight in a window, which decays by
+DECAY_FACTOR per later window. So each place on the ring is covered by the same number of arcs of the same
+width. A second ring contains the endpoints in the node's own zone. As a node does not know which other nodes
+are in its zone, arcs on this ring start at multiples of the golden ratio, which are spread evenly both for
+blocks of node indices and for every n-th node index. If there are no more than `width` ready endpoints, there
+is no subset.
 
 Source: deterministic aperture of Twitter's Finagle, and deterministic subsetting in Beyer et al., Site
 Reliability Engineering, chapter 20 (2016).
@@ -32,15 +34,15 @@
 from moleport.policy.state import EndpointStatus
 
 MIN_ENDPOINT_COUNT = 48
-ENDPOINTS_PER_REQUEST_RATIO = 4.0  # in flight
-DECAY_FACTOR = 0.99  # each window
+ENDPOINTS_PER_REQUEST_RATIO = 4.0  # per attempt in flight
+DECAY_FACTOR = 0.99  # per window
 GOLDEN_RATIO = (sqrt(5.0) - 1.0) / 2.0
-KEYLESS_EWMA_WEIGHT = 0.5  # of the newest window
-OWN_ZONE_DRAW_RATIO = 0.5  # of the draws; every other one is from all zones
+KEYLESS_EWMA_WEIGHT = 0.5  # weight of the newest window
+OWN_ZONE_DRAW_RATIO = 0.5  # of the draws; every second draw is from all zones
 
 
 class Ring:
-    """Endpoints on a circle of circumference 1, by `ring_position`, each as long as its weight."""
+    """Endpoints on a ring of length 1, in order of `ring_position`, with lengths in proportion to weight."""
 
     def __init__(self, members: list[EndpointStatus]) -> None:
         self._members = sorted(members, key=attrgetter("ring_position"))
@@ -50,16 +52,16 @@
         return len(self._members)
 
     def total_weight(self) -> float:
-        """Return the weight of all endpoints."""
+        """Return the total weight of the endpoints on the ring."""
         return self._ends[-1] if self._ends else 0.0
 
     def at(self, place: float) -> EndpointStatus:
-        """Return the endpoint at a place, of which only the fraction counts; the ring must not be empty."""
+        """Return the endpoint at the fractional part of `place`; the ring must not be empty."""
         index = bisect_right(self._ends, (place % 1.0) * self._ends[-1])
         return self._members[min(index, len(self._members) - 1)]
 
     def place_of(self, status: EndpointStatus) -> float | None:
-        """Return the middle of an endpoint's part, from 0 to 1; None if it is not on the ring."""
+        """Return the middle of an endpoint on the ring, from 0 to 1; None if it is not on the ring."""
         index = bisect_left(self._members, status.ring_position, key=attrgetter("ring_position"))
         if index == len(self._members) or self._members[index] is not status:
             return None
@@ -70,28 +72,28 @@
     """The part of a ring that one node uses."""
 
     def __init__(self, ring: Ring, start: float, width: float, node_count: float) -> None:
-        """Span about `width` endpoints from `start` (0 to 1), on a ring that `node_count` nodes share."""
+        """Create an arc of about `width` endpoints from `start`, on a ring shared by `node_count` nodes."""
         self._ring = ring
         self._start = start
         length = min(1.0, width / max(1, len(ring)))
-        overlap_count = round(length * node_count)  # arcs that cover each place
+        overlap_count = round(length * node_count)  # number of arcs that cover each place
         self.length = min(1.0, overlap_count / node_count) if overlap_count else length
 
     def draw(self, random: Random) -> EndpointStatus:
-        """Return an endpoint of the arc, by its weight."""
+        """Return a random endpoint of the arc, with a probability in proportion to its weight."""
         return self._ring.at(self._start + self.length * random.random())
 
     def covers(self, status: EndpointStatus) -> bool:
-        """Return whether an endpoint lies on the arc."""
+        """Return whether the middle of an endpoint is on the arc."""
         place = self._ring.place_of(status)
         return place is not None and (place - self._start) % 1.0 < self.length
 
 
 class EndpointSubset:
-    """The endpoints for requests without keys, where there are more than this node needs."""
+    """Draws endpoints for requests without keys, from the arcs that this node uses."""
 
     def __init__(self, settings: api.Settings, endpoints: EndpointSet, seed: int) -> None:
-        """Without a `node_index` the arcs start at a place drawn with `seed`."""
+        """Create the subset of a node; without a `node_index`, `seed` determines a random start."""
         self._endpoints = endpoints
         self._zone = settings.zone
         self._node_count = settings.node_count
@@ -101,9 +103,9 @@
             self._start = settings.node_index / settings.node_count
             self._own_zone_start = settings.node_index * GOLDEN_RATIO
         self._peak_in_flight = 0.0
-        self._keyless_count = 0  # requests in this window
-        self._keyless_ratio = 0.0  # of the requests, a moving mean
-        self._rings_version = -1  # of the endpoints that the rings hold
+        self._keyless_count = 0  # requests without a key in the current window
+        self._keyless_ratio = 0.0  # fraction of the requests without a key, a moving mean
+        self._rings_version = -1  # version of the endpoint set that the rings were built from
         self._ring = self._own_zone_ring = Ring([])
         self._arc = self._own_zone_arc = Arc(self._ring, 0.0, 0.0, 1.0)
 
@@ -116,7 +118,7 @@
         self._keyless_count += 1
 
     def end_window(self, mean_in_flight: float, request_count: int) -> None:
-        """Adapt to the mean of the node's attempts in flight and the requests that arrived in the window."""
+        """Adapt the arcs to the mean of attempts in flight and the number of requests in the window."""
         self._peak_in_flight = max(mean_in_flight, DECAY_FACTOR * self._peak_in_flight)
         if request_count:
             ratio = self._keyless_count / request_count
@@ -126,7 +128,7 @@
             self._update_arcs()
 
     def draw(self, random: Random, prefer_own_zone: bool) -> EndpointStatus:
-        """Return a random endpoint of the subset; at least one has to be ready."""
+        """Return a random endpoint of the subset; at least one endpoint has to be ready."""
         self._update_rings()
         if prefer_own_zone and len(self._own_zone_ring):
             ratio = self._endpoints.candidates.own_zone_ratio()
@@ -135,7 +137,7 @@
         return self._arc.draw(random)
 
     def concentration(self, status: EndpointStatus) -> float:
-        """Return how often requests lead to an endpoint, as a multiple of an even spread by weight."""
+        """Return the share of requests that an endpoint gets, as a multiple of an even spread by weight."""
         if not self._keyless_ratio or not self.is_narrow():
             return 1.0
         self._update_rings()
--- a/moleport/policy/final_answers.py
+++ b/moleport/policy/final_answers.py
@@ -1,9 +1,9 @@
-"""The final answer of a request that no endpoint has answered: rejected or failed.
+"""Final answers of requests that no endpoint has answered: they are rejected or failed.
 
-`Reject` promises the client that trying again is harmless, so it is given only where the request can't have
-been executed or a repeat would be recognised (`ActiveRequest.may_reject`); else the answer is `Fail`. A
-rejection advises the client to stay away for the settings' `max_retry_after_ns`; where a late answer still
-has value, for the latency objective if that is shorter.
+`Reject` promises the client that the request is safe to repeat, so it is used only if the request can't have
+been executed or a repeat would be recognised (`ActiveRequest.may_reject`). Otherwise the answer is `Fail`. A
+rejection tells the client to wait for the setting `max_retry_after_ns` before it retries. If a late answer
+still has value and the latency objective is shorter, it is the latency objective.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from moleport.policy.actions import ActionBuffer
 from moleport.policy.state import ActiveRequest
 
-NO_ADVICE_NS = 0
+NO_RETRY_AFTER_NS = 0
 
 
 class FinalAnswers:
-    """Emits final answers."""
+    """Emits the final answers that don't come from an endpoint."""
 
     def __init__(self, settings: api.Settings, actions: ActionBuffer) -> None:
         self._max_retry_after_ns = settings.max_retry_after_ns
@@ -24,7 +24,7 @@
         self._actions = actions
 
     def finish(self, active: ActiveRequest) -> None:
-        """Close a request, and reject it if that is safe, else fail it."""
+        """Close a request; reject it if it is safe to repeat, otherwise fail it."""
         active.is_closed = True
         if active.may_reject():
             self.reject(active)
@@ -32,12 +32,12 @@
             self._actions.emit(api.Fail(active.request.id))
 
     def reject(self, active: ActiveRequest) -> None:
-        """Reject a request that can't have been executed, or is safe to repeat."""
+        """Reject a request that can't have been executed or is safe to repeat."""
         self._actions.emit(api.Reject(active.request.id, self._retry_after_ns(active.request_class)))
 
     def _retry_after_ns(self, request_class: api.RequestClass) -> int:
         if not self._sends_retry_after:
-            return NO_ADVICE_NS
+            return NO_RETRY_AFTER_NS
         if request_class.late_weight_ratio:
             return min(request_class.latency_objective_ns, self._max_retry_after_ns)
         return self._max_retry_after_ns
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -1,14 +1,14 @@
-"""Consistent hashing by weight: the endpoint that a key leads to, on a sparse grid of slots.
+"""Weighted consistent hashing: maps keys to endpoints on a sparse grid of slots.
 
 As in SPOCA (Chawla, Reed, Juhnke and Syed, USENIX ATC 2011) and DxHash (Dong and Wang, 2021), an endpoint
-claims slots by its weight, and a key probes slots in an order of its own and takes the first that is
-occupied. So each occupied slot gets the same fraction of all keys, and a slot that is occupied or freed moves
-only the keys that lead to it.
-
-In both papers the order of changes decides which endpoint has which slot. Here the rule of ordered hash
-tables decides (Amble and Knuth 1974; unique representation: Blelloch and Golovin 2007): where two claims
-meet, the one of the lower rank has the slot, and the other goes on to the next slot of its probe sequence.
-So the grid is a function of the endpoints and their weights alone, and nodes with the same list agree.
+claims a number of slots in proportion to its weight. A key probes slots in an order that depends on the key,
+and maps to the endpoint of the first occupied slot. So each occupied slot gets the same fraction of all keys,
+and occupying or freeing a slot moves only the keys that map to it.
+
+In both papers the order of changes decides which endpoint occupies which slot. Here the rule of ordered hash
+tables decides (Amble and Knuth 1974; unique representation: Blelloch and Golovin 2007): if two claims collide
+at a slot, the claim with the lower rank occupies it, and the other one probes the next slot of its sequence.
+So the grid depends only on the endpoints and their weights, and nodes with the same list agree.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 HASH_MASK = (1 << HASH_BITS) - 1
 HASH_RATIO_BITS = 20
 HASH_RATIO_SCALE = 1 << HASH_RATIO_BITS
-"""1.0, for a ratio that is compared with a hash shifted by `HASH_RATIO_SHIFT_BITS`."""
+"""Fixed-point scale (1.0) of ratios that are compared with a hash shifted by `HASH_RATIO_SHIFT_BITS`."""
 HASH_RATIO_SHIFT_BITS = HASH_BITS - HASH_RATIO_BITS
-"""Shift that leaves the highest `HASH_RATIO_BITS` of a hash."""
+"""Right shift that keeps the highest `HASH_RATIO_BITS` of a hash."""
 RANK_BYTES = 24
 
 SPARSITY_FACTOR = 16
-"""Slots of the grid for each claim at least: with fewer, more claims meet and a change moves more keys."""
+"""Least number of slots per claim; with fewer slots, more claims collide and a change moves more keys."""
 MIN_SLOT_COUNT = 4096
 GROWTH_FACTOR = 32
-"""A grid that grows moves most keys, so it grows seldom: past 256 claims, then past 8,192."""
+"""Resizing the grid moves most keys, so it grows seldom: above 256 claims, then above 8,192."""
 
 WINDOW_SLOT_COUNT = 256
-"""Slots that a key probes at once."""
+"""Number of slots that a key probes at once."""
 STRIDE_SHIFT_BITS = 20
-STRIDE_LIMIT = 1024
-"""The distances between the slots of a window are odd, and below this."""
+STRIDE_LIMIT_SLOTS = 1024
+"""Bound on the distance between the slots of a window, which is an odd number below it."""
 MAX_WINDOW_COUNT = 64
-"""Windows that a key probes at most: equal weights need one or two, very different ones four on average."""
+"""Most windows that a key probes; equal weights need one or two, very different ones four on average."""
 
 MIN_WEIGHT, MAX_WEIGHT = 2.0**-40, 2.0**40
-"""A weight beyond these counts as the nearer one."""
+"""Range of weights; a weight outside of it is clamped."""
 WEIGHT_UNITS = 1 << 40
-"""Units in a weight of 1.0. Weights are integers, so that their sum is the same in any order."""
+"""Units per weight of 1.0. Weights are integers, so that their sum is the same in any order."""
 
 
 def mix64(value: int) -> int:
@@ -64,53 +64,56 @@
 
 
 def ceil_div(dividend: int, divisor: int) -> int:
-    """Return the quotient rounded up; exact, as a float would not be for large integers."""
+    """Return the quotient rounded up; exact for large integers, unlike division of floats."""
     return -(-dividend // divisor)
 
 
 class Claim(Generic[T]):
-    """An endpoint's claim to one slot: the first of its probe sequence that no claim of lower rank has."""
+    """Claim of an endpoint to one slot: the first of its probe sequence without a claim of lower rank."""
 
     __slots__ = ("key_ratio", "probe", "rank", "value")
 
     def __init__(self, name: bytes, index: int, value: T) -> None:
-        """Make the claim with this index among those of the endpoint of this name."""
+        """Create the claim with this index among the claims of the endpoint `name`."""
         if index:
             digest = blake2b(name, digest_size=RANK_BYTES, salt=b"%d" % index)
         else:
             digest = blake2b(name, digest_size=RANK_BYTES)
         self.rank = int.from_bytes(digest.digest(), "little")
-        self.probe = 0  # position in its probe sequence
-        self.key_ratio = HASH_RATIO_SCALE  # of the keys that probe its slot, how many it takes
+        self.probe = 0  # index of its slot in the probe sequence
+        self.key_ratio = (
+            HASH_RATIO_SCALE  # fraction of the keys which probe its slot that it gets, times HASH_RATIO_SCALE
+        )
         self.value = value
 
     def slot(self, probe: int, mask: int) -> int:
-        """Return a slot of the probe sequence, by double hashing; an odd stride reaches every slot."""
+        """Return a slot of the probe sequence by double hashing, with an odd stride to reach every slot."""
         if not probe:
             return self.rank & mask
         return (self.rank + probe * ((self.rank >> HASH_BITS) | 1)) & mask
 
 
 class SlotGrid(Generic[T]):
-    """Values by name and weight, on a grid of slots.
+    """Hash table that maps keys to members by weight. A member has a name, a weight and a value.
 
-    All results are a function of the present names, weights and values, not of the order of changes. A change
-    costs as much as the slots that it occupies or frees, about one; one that resizes the grid or changes the
-    weight of a slot costs as much as all slots.
+    All results depend only on the present members, not on the order of changes. The cost of a change grows
+    with the number of slots that it occupies or frees, about one. A change that resizes the grid or changes
+    the weight of a slot costs as much as all slots.
     """
 
     def __init__(self) -> None:
-        """Start without members."""
+        """Create a grid without members."""
         self._mask = MIN_SLOT_COUNT - 1  # the number of slots is a power of two
         self._slots: dict[int, Claim[T]] = {}
-        # 1 for an occupied slot, repeated past the last one so that no window wraps; empty: to be rebuilt.
+        # A byte of 1 per occupied slot, repeated beyond the last slot so that no window wraps around.
+        # Empty until the grid is built.
         self._occupied = bytearray()
-        self._displaced: dict[int, list[Claim[T]]] = {}  # by slot: claims that went on to a later one
+        self._displaced: dict[int, list[Claim[T]]] = {}  # by slot: claims that were displaced to a later slot
         self._claims: dict[bytes, list[Claim[T]]] = {}
-        self._members: dict[bytes, tuple[int, T]] = {}  # weight in units, value
+        self._members: dict[bytes, tuple[int, T]] = {}  # by name: weight in units, value
         self._slot_units = WEIGHT_UNITS  # weight of one slot, in units
         self._claim_count = 0
-        self._weight_counts: dict[int, int] = {}  # by weight in units: members that have it
+        self._weight_counts: dict[int, int] = {}  # by weight in units: number of members
         self.total_units = 0
 
     def __len__(self) -> int:
@@ -118,17 +121,17 @@
         return len(self._members)
 
     def has_equal_weights(self) -> bool:
-        """Return whether all members have the same weight."""
+        """Return whether the weights of all members are equal."""
         return len(self._weight_counts) <= 1
 
     def update(self, changes: Mapping[bytes, tuple[int, T] | None]) -> None:
-        """Set weight in units (at least 1) and value of the members named; None removes a member."""
+        """Set weight (in units, at least 1) and value of members by name; None removes a member."""
         self._update_members(changes)
-        slot_units = self._fitting_slot_units()
+        slot_units = self._target_slot_units()
         if slot_units != self._slot_units:
             self._slot_units = slot_units
             self._claim_count = sum(ceil_div(units, slot_units) for units, _ in self._members.values())
-        elif self._occupied and self._fitting_slot_count() == self._mask + 1:
+        elif self._occupied and self._target_slot_count() == self._mask + 1:
             for name in changes:
                 for claim in self._adjust_claims(name):
                     self._place(claim)
@@ -138,27 +141,27 @@
     def find(self, key_hash: int) -> T | None:
         """Return the value of the first occupied slot in the probe order of a 64-bit hash.
 
-        The order goes through windows of slots, each with a start and a stride from a hash of its own. None
-        if there is no member, or if `MAX_WINDOW_COUNT` windows hold no slot that takes the key.
+        A key probes windows of slots, whose start and stride come from successive hashes. Returns None if
+        there are no members, or if none of `MAX_WINDOW_COUNT` windows has a slot that accepts the key.
         """
         if not self._members:
             return None
         mask, occupied, slots = self._mask, self._occupied, self._slots
         for _ in range(MAX_WINDOW_COUNT):
             start = key_hash & mask
-            stride = ((key_hash >> STRIDE_SHIFT_BITS) & (STRIDE_LIMIT - 1)) | 1
+            stride = ((key_hash >> STRIDE_SHIFT_BITS) & (STRIDE_LIMIT_SLOTS - 1)) | 1
             window = occupied[start : start + WINDOW_SLOT_COUNT * stride : stride]
-            hit = window.find(1)
-            while hit >= 0:
-                claim = slots[(start + hit * stride) & mask]
+            offset = window.find(1)
+            while offset >= 0:
+                claim = slots[(start + offset * stride) & mask]
                 key_ratio = claim.key_ratio
                 if (
                     key_ratio == HASH_RATIO_SCALE
-                    or (mix64((key_hash + hit) ^ (claim.rank & HASH_MASK)) >> HASH_RATIO_SHIFT_BITS)
+                    or (mix64((key_hash + offset) ^ (claim.rank & HASH_MASK)) >> HASH_RATIO_SHIFT_BITS)
                     < key_ratio
                 ):
                     return claim.value
-                hit = window.find(1, hit + 1)
+                offset = window.find(1, offset + 1)
             key_hash = mix64(key_hash)
         return None
 
@@ -180,10 +183,10 @@
                 self._claim_count += ceil_div(units, slot_units)
                 weight_counts[units] = weight_counts.get(units, 0) + 1
 
-    def _fitting_slot_units(self) -> int:
-        """Return the weight of a slot, a power of four that makes the mean weight half a slot to two slots.
+    def _target_slot_units(self) -> int:
+        """Return the weight of a slot: the power of four at which a mean weight is half a slot to two slots.
 
-        A member far above the mean has many claims, and one far below it has one that takes few keys.
+        A member far above the mean has many claims; one far below it has a single claim with few keys.
         """
         twice_mean = 2 * self.total_units // max(1, len(self._members))
         if not twice_mean:
@@ -191,14 +194,14 @@
         power_of_four = (twice_mean.bit_length() - 1) // 2
         return 1 << (2 * power_of_four)
 
-    def _fitting_slot_count(self) -> int:
+    def _target_slot_count(self) -> int:
         count = MIN_SLOT_COUNT
         while count < SPARSITY_FACTOR * self._claim_count:
             count *= GROWTH_FACTOR
         return count
 
     def _adjust_claims(self, name: bytes) -> list[Claim[T]]:
-        """Give a member as many claims as its weight comes to; return the new ones, still without slots."""
+        """Adjust the number of claims of a member to its weight; return the new claims, without slots yet."""
         claims = self._claims.setdefault(name, [])
         units, value = self._members.get(name, (0, None))
         count = ceil_div(units, self._slot_units)
@@ -217,16 +220,16 @@
         return new
 
     def _rebuild(self, names: Mapping[bytes, None]) -> None:
-        """Place all claims anew, on a grid of the fitting size."""
+        """Rebuild the grid with the fitting size, and place all claims."""
         slots: dict[int, Claim[T]] = {}
         self._slots, self._displaced, self._occupied = slots, {}, bytearray()
         for name in names:
             units, value = self._members.get(name, (0, None))
             if units == self._slot_units and value is not None and name not in self._claims:
-                self._claims[name] = [Claim(name, 0, value)]  # the most common case of _adjust_claims
+                self._claims[name] = [Claim(name, 0, value)]  # fast path for the most common case
             else:
                 self._adjust_claims(name)
-        size = self._fitting_slot_count()
+        size = self._target_slot_count()
         self._mask = mask = size - 1
         for claims in self._claims.values():
             for claim in claims:
@@ -236,15 +239,15 @@
         occupied = bytearray(size)
         for slot in slots:
             occupied[slot] = 1
-        overhang = WINDOW_SLOT_COUNT * STRIDE_LIMIT
-        self._occupied = (occupied * (2 + overhang // size))[: size + overhang]
+        padding = WINDOW_SLOT_COUNT * STRIDE_LIMIT_SLOTS
+        self._occupied = (occupied * (2 + padding // size))[: size + padding]
 
     def _set_occupied(self, slot: int, occupied: int) -> None:
         for position in range(slot, len(self._occupied), self._mask + 1):
             self._occupied[position] = occupied
 
     def _place(self, claim: Claim[T]) -> None:
-        """Give a claim its slot; a claim of higher rank that occupies it goes on in turn."""
+        """Place a claim in its slot, and displace a claim of higher rank to the next slot of its sequence."""
         slots, mask = self._slots, self._mask
         while True:
             slot = claim.slot(claim.probe, mask)
@@ -260,7 +263,7 @@
             claim.probe += 1
 
     def _release(self, claim: Claim[T]) -> None:
-        """Free a claim's slot for the lowest rank displaced from it, and so on with the slot of that one."""
+        """Free the slot of a claim; move the claim of lowest rank displaced from it there, and repeat."""
         if not self._occupied:
             return  # the grid is about to be rebuilt
         mask = self._mask
@@ -268,19 +271,19 @@
         self._forget_displacements(claim, 0)
         while displaced := self._displaced.get(freed):
             successor = min(displaced, key=lambda other: other.rank)
-            left = successor.slot(successor.probe, mask)
+            vacated = successor.slot(successor.probe, mask)
             probe = next(
                 earlier for earlier in range(successor.probe) if successor.slot(earlier, mask) == freed
             )
             self._forget_displacements(successor, probe)
             successor.probe = probe
             self._slots[freed] = successor
-            freed = left
+            freed = vacated
         del self._slots[freed]
         self._set_occupied(freed, 0)
 
     def _forget_displacements(self, claim: Claim[T], first_probe: int) -> None:
-        """Remove a claim from the displaced ones, from this probe of its sequence on."""
+        """Remove a claim from the lists of displaced claims, from `first_probe` of its sequence on."""
         for probe in range(first_probe, claim.probe):
             slot = claim.slot(probe, self._mask)
             self._displaced[slot].remove(claim)
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -1,7 +1,7 @@
-"""The events that go into the decision module, the actions that come out of it, and its settings.
+"""Interface of the decision module: the events that it handles, the actions that it returns, its settings.
 
-Every time and duration is a whole number of nanoseconds on one monotonic clock. An endpoint is named by an
-opaque, hashable and sortable id; a request by a number that is never used twice.
+Every time and duration is a whole number of nanoseconds on one monotonic clock. Endpoints are identified by
+opaque, hashable and sortable ids, requests by numbers of which none is used twice.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
     """Whether a request of a class may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    """Any number of times."""
+    """It may be executed any number of times."""
     IDEMPOTENCY_KEY = "idempotency_key"
-    """A repeat with the same key is dropped by the endpoints of its deduplication scope, for a while."""
+    """For a limited time, the endpoints of the deduplication scope drop repeats with the same key."""
     NOT_IDEMPOTENT = "not_idempotent"
-    """Never more than once."""
+    """It must not be executed more than once."""
 
 
 class DeduplicationScope(Enum):
-    """The endpoints that together recognise a repeat by its idempotency key."""
+    """The endpoints that share their record of idempotency keys, and so recognise a repeat."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,30 +36,30 @@
     """How the endpoint list reaches a node."""
 
     PUSH = "push"
-    """The watch is kept open without the module's help."""
+    """The node keeps a watch open; the module takes no part in it."""
     POLL = "poll"
-    """The module decides when to poll for the list, by `WatchEndpoints`."""
+    """The module decides when to poll for the list, and emits `WatchEndpoints`."""
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list holds."""
+    """What an update of the endpoint list contains."""
 
     CACHED = "cached"
-    """The complete list as last held before a restart; it may be stale."""
+    """The complete list that the node stored before a restart; it may be stale."""
     SNAPSHOT = "snapshot"
-    """The complete list; an endpoint that it leaves out is removed."""
+    """The complete list; endpoints that are not in it are removed."""
     DELTA = "delta"
-    """Changed entries only."""
+    """Only the entries that have changed."""
     FAILED = "failed"
-    """No entries: a poll or a watch failed, or the watch broke."""
+    """No entries, as a poll or a watch has failed."""
 
 
 class EndpointState(Enum):
-    """The state of an endpoint, as discovery tells it."""
+    """The state of an endpoint, as reported by discovery."""
 
     READY = "ready"
     DRAINING = "draining"
-    """Finishes its work and takes no new requests."""
+    """The endpoint finishes its requests and accepts no new ones."""
     REMOVED = "removed"
 
 
@@ -68,43 +68,43 @@
 
     OK = "ok"
     ERROR = "error"
-    """The endpoint answered with an error, or with an answer that can't be read."""
+    """The endpoint answered with an error, or with an answer that could not be parsed."""
     REJECTED = "rejected"
-    """The endpoint turned the request away unexecuted: overloaded or draining."""
+    """The endpoint rejected the request without executing it, as it is overloaded or draining."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    """The connection was refused, never came up, or broke before the request's last byte was written."""
+    """The connection was not established, or broke before the last byte of the request was written."""
     RESET = "reset"
-    """The connection broke after the request was written."""
+    """The connection broke after the whole request was written."""
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    """The node sent nothing, for a reason of its own."""
+    """The node sent nothing, for a reason that is not the endpoint's."""
     CLIENT_ERROR = "client_error"
-    """The endpoint refused the request for a fault of the request (4xx)."""
+    """The endpoint refused the request because of an error in the request (4xx)."""
 
 
 NOT_EXECUTED = frozenset((AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT))
-"""Results that prove that the attempt had no effect."""
+"""Results which prove that the endpoint did not execute the request."""
 
 DEFAULT_OVERLOAD_MULTIPLE = 2.0
-"""Used if the settings have no overload_multiple.
+"""Default of the setting `overload_multiple`.
 
-A load above this multiple of present capacity makes an endpoint collapse.
+An endpoint collapses under a load above this multiple of its present capacity.
 """
 
 DEFAULT_OVERLOAD_WINDOW_NS = 3_000_000_000
-"""Used if the settings have no overload_window_ns."""
+"""Default of the setting `overload_window_ns`."""
 
 
 class TimerId(IntEnum):
-    """The timers that the module sets; the numbers are those of the simulator's wire."""
+    """The timers that the module sets; the simulator's wire protocol uses these numbers."""
 
     WINDOW_END = 1
-    """End of a measurement window."""
+    """A measurement window ends."""
     POLL = 2
-    """Time to poll discovery for the endpoint list."""
+    """A poll of discovery for the endpoint list is due."""
     DEFERRED = 3
-    """Something that was put off has fallen due."""
+    """A deferred task is due."""
 
 
 def _require(name: str, is_valid: bool, value: object) -> None:
@@ -114,21 +114,21 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """Requests that share a latency objective, a priority weight and an idempotency.
+    """Requests that share a latency objective, a priority weight and rules of idempotency.
 
-    Raises ValueError, which names the field, for values that no balancer can work by.
+    Raises a ValueError that names the field for a value out of range.
     """
 
     latency_objective_ns: int
-    """An answer within this time earns the full weight."""
+    """An answer within this time has the full priority weight."""
     priority_weight: float
-    """What an answer in time is worth, against the other classes."""
+    """Value of an answer in time, relative to the other classes."""
     late_weight_ratio: float
-    """Part of the weight that an answer after the objective still earns, 0 to 1."""
+    """Fraction of the weight that an answer after the objective still has, 0 to 1."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0
-    """With idempotency keys: for how long repeats are recognised."""
+    """With idempotency keys, the time for which repeats are recognised."""
     ordered_by_key: bool = False
     """Requests with the same key run one at a time, in the order in which this node accepted them."""
 
@@ -141,10 +141,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer of the service. Raises ValueError for a quota that is no ratio."""
+    """A customer of the service. Raises a ValueError for a quota out of range."""
 
     quota_ratio: float
-    """Part of the service's capacity that is the tenant's, 0 to 1."""
+    """Fraction of the service's capacity that the tenant may use, 0 to 1."""
 
     def __post_init__(self) -> None:
         _require("quota_ratio", 0.0 <= self.quota_ratio <= 1.0, self.quota_ratio)
@@ -152,44 +152,44 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a balancer works by, for as long as it lives.
+    """The settings of a balancer, which do not change during its lifetime.
 
-    Raises ValueError, which names the field, for values that no balancer can work by.
+    Raises a ValueError that names the field for a value out of range.
     """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
     node_count: int
-    """Nodes that share the endpoints."""
+    """Number of nodes that share the endpoints."""
     discovery_mode: DiscoveryMode
     poll_interval_ns: int
-    """With polling: the list is polled at least this often while no watch stands."""
+    """In discovery mode `poll`, the longest wait between polls while no watch is open."""
     slow_start_initial_ratio: float
-    """Part of its capacity that an endpoint has at least right after its start, 0 to 1."""
+    """Least fraction of its capacity that an endpoint has right after its start, 0 to 1."""
     slow_start_duration_ns: int
-    """Time after its start by which an endpoint has its full capacity."""
+    """Time from the start of an endpoint until it has its full capacity."""
     max_attempts: int
-    """Attempts for one request, the first included."""
+    """Largest number of attempts for one request, including the first."""
     max_retry_after_ns: int
-    """Longest Retry-After that may be given to a client."""
+    """Longest Retry-After that may be sent to a client."""
     sends_retry_after: bool
-    """Clients are told how long to stay away."""
+    """Whether rejections tell clients how long to wait before a retry."""
     weight_by_work: bool
-    """Priority weights count for a unit of work instead of for a request."""
+    """Whether priority weights are per unit of work instead of per request."""
     load_report_fields: tuple[str, ...]
-    """Names of the figures in an endpoint's load report, in their order."""
+    """Names of the values in a load report of an endpoint, in order."""
     idle_timeout_ns: int = 0
-    """An endpoint closes a connection that has been idle for this long; 0: none is reused."""
+    """Idle time after which endpoints close a connection; 0: connections are not reused."""
     key_cooldown_ns: int = 0
-    """Ordered keys: the pause after an attempt that may still be running."""
+    """For ordered keys, the pause after an attempt that may still be running."""
     zone: int | None = None
-    """The zone of this node, where it is known."""
+    """Zone of this node; None: not known."""
     node_index: int | None = None
-    """Number of this node among the `node_count`, from 0, where it is known."""
+    """Index of this node among the `node_count` nodes, from 0; None: not known."""
     overload_multiple: float = DEFAULT_OVERLOAD_MULTIPLE
-    """Times its present capacity: an endpoint in slow start that is sent more collapses."""
+    """Multiple of its present capacity above which an endpoint in slow start collapses."""
     overload_window_ns: int = DEFAULT_OVERLOAD_WINDOW_NS
-    """Time for which it has to be sent more."""
+    """Time for which the load has to exceed `overload_multiple` before an endpoint collapses."""
 
     def __post_init__(self) -> None:
         _require("classes", len(self.classes) >= 1, self.classes)
@@ -217,36 +217,36 @@
     id: EndpointId
     zone: int
     cell: int
-    """Endpoints of one cell recognise each other's idempotency keys."""
+    """Endpoints of one cell share their record of idempotency keys."""
     state: EndpointState
     weight: float
-    """Relative capacity."""
+    """Capacity relative to the other endpoints."""
     started_at_ns: int
-    """Time of its last start; 0: long ago."""
+    """Time of its last start; 0: so long ago that it is warm."""
     hardware_type: int = 0
-    """Endpoints of one type are machines alike."""
+    """Endpoints of the same type run on machines of the same kind."""
 
 
 class EndpointUpdate(NamedTuple):
-    """Event: an update of the endpoint list, or the failure of one."""
+    """Event: an update of the endpoint list, or a failure to get one."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[Endpoint, ...]
 
 
 class Request(NamedTuple):
-    """Event: a client's request was accepted by the node."""
+    """Event: the node has received a request from a client."""
 
     id: int
     remaining_ns: int
-    """Time for which the client will wait for the answer."""
+    """Time for which the client still waits for the answer."""
     class_index: int
     tenant_index: int
-    """Past the last tenant of the settings: an unknown one."""
+    """Index into the tenants of the settings; an index past the last one means an unknown tenant."""
     key: int
-    """Hash of the thing that the request concerns; 0: none."""
+    """Hash of the key, which names the object that the request concerns; 0: the request has no key."""
     is_client_retry: bool
-    """The client says that it tried before."""
+    """Whether the client marks the request as a retry of its own."""
 
 
 class AttemptOutcome(NamedTuple):
@@ -254,29 +254,29 @@
 
     request_id: int
     is_answered: bool
-    """The client has its final answer."""
+    """Whether the client has received its final answer."""
     result: AttemptResult
     elapsed_ns: int
     endpoint_id: EndpointId
     attempt_index: int
-    """Among the attempts for its request, from 0."""
+    """Index among the attempts of the request, from 0."""
     load_report: tuple[float, ...]
-    """In the order of the settings' `load_report_fields`; empty if there was none."""
+    """Values in the order of the setting `load_report_fields`; empty if there was no report."""
 
 
 class ClientDisconnected(NamedTuple):
-    """Event: nothing further may be sent for this client's request.
+    """Event: the client has disconnected; its request gets no further attempt and no final answer.
 
-    Also sent when the node itself ends the request: at its deadline, at shutdown or after a fault.
+    Also emitted when the node itself ends the request: at its deadline, at shutdown or after a fault.
     """
 
     request_id: int
     is_half_closed: bool = False
-    """It may only have ended its sending: it is still answered, once no attempt is in flight."""
+    """Whether the client may have closed only its sending side; it then still gets a final answer."""
 
 
 class TimerFired(NamedTuple):
-    """Event: a timer has come due. A number that is no `TimerId` is legal and means nothing."""
+    """Event: a timer is due. Numbers that are not in `TimerId` are allowed and ignored."""
 
     timer_id: int
 
@@ -290,21 +290,21 @@
     request_id: int
     endpoint_id: EndpointId
     timeout_ns: int
-    """0: until the client gives up."""
+    """Time limit of the attempt; 0: only the deadline of the request applies."""
     write_deadline_ns: int = 0
-    """Clock time by which the last byte has to be written, or else nothing is; 0: no such bound."""
+    """Time by which the last byte has to be written, or else nothing may be; 0: no such bound."""
 
 
 class Reject(NamedTuple):
-    """Action: final answer that the request was not executed and trying again is harmless."""
+    """Action: send the final answer that the request was rejected and is safe to repeat."""
 
     request_id: int
     retry_after_ns: int
-    """0: no advice."""
+    """Time that the client is told to wait before a retry; 0: none is given."""
 
 
 class Fail(NamedTuple):
-    """Action: final answer that makes no promise about what was executed."""
+    """Action: send the final answer that the request failed; it may have been executed."""
 
     request_id: int
 
@@ -316,30 +316,30 @@
 
 
 class SetTimer(NamedTuple):
-    """Action: let a timer fire at a time; a timer that is set twice fires twice."""
+    """Action: set a timer for a time; a timer that is set twice fires twice."""
 
     at_ns: int
     timer_id: TimerId
 
 
 class WatchEndpoints(NamedTuple):
-    """Action: poll discovery for the endpoint list, and watch it for all later changes."""
+    """Action: poll discovery for the endpoint list, and watch it for later changes."""
 
 
 class EndpointEjected(NamedTuple):
-    """Notice: an endpoint gets no requests for a while. For logs and counters; nothing is to be done."""
+    """Notice for logs and counters: an endpoint was ejected, and gets no requests for a time."""
 
     endpoint_id: EndpointId
     result: AttemptResult
-    """The result that led to it."""
+    """Result of the attempt that led to the ejection."""
     duration_ns: int
     failure_rate: float
     failed_trial_count: int
-    """Trials that have failed in a row, up to a limit."""
+    """Number of trials that have failed in a row, up to a limit."""
 
 
 class EndpointReinstated(NamedTuple):
-    """Notice: the ejection of an endpoint has ended."""
+    """Notice for logs and counters: the ejection of an endpoint has ended."""
 
     endpoint_id: EndpointId
 
--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -1,18 +1,20 @@
-"""Queues of ordered keys: requests of one key that run one at a time, in the order of their arrival.
+"""Ordering by key: requests with the same key run one at a time, in the order of their arrival.
 
-Classes with `ordered_by_key` send the first request of a key at once; the others of this key wait in its
-queue until those before them are complete. A request is queued only if it can be sent in time:
+In classes with `ordered_by_key`, the first request of a key is sent at once; further requests with this key
+wait in a queue until all requests before them are complete. A request is queued only if it can be sent in
+time:
 
     max(now, cooldown) + open requests ahead * typical <= useful_until - typical
 
-with `typical` the class's typical response time in ns; a request of the queue is open until its client has an
-answer or has disconnected. Otherwise it is rejected at once. A request that has not been sent by the
-right-hand side gets its final answer then. When its turn comes, it also needs capacity under its class's cap.
+where `typical` is the typical response time of the class in ns. A queued request is open until its client has
+an answer or has disconnected. A request that fails this test is rejected at once. A request that has not been
+sent at the time `useful_until - typical` gets its final answer at that time. A request that is first in the
+queue also needs capacity under the cap of its class.
 
-After an attempt that may still be running (time-out, reset or cancellation) the key's next request waits for
-the settings' `key_cooldown_ns`.
+After an attempt that may still be running (time-out, reset or cancellation), the next request of the key
+waits for the setting `key_cooldown_ns`.
 
-Failure that this is for: two requests of one key that are executed at once or in the wrong order.
+This guards against two requests with one key that are executed at the same time or in the wrong order.
 """
 
 from __future__ import annotations
@@ -35,14 +37,15 @@
 
 @dataclass(slots=True)
 class KeyQueue:
-    """The requests of one key, in order; only the first may have attempts."""
+    """The requests with one key, in order; only the first one may have attempts."""
 
     requests: deque[ActiveRequest] = field(default_factory=deque)
     cooldown_until_ns: int = 0
+    """Time before which no request with this key is sent."""
 
 
 class KeyOrdering:
-    """Sends the requests of each ordered key one after the other."""
+    """Sends the requests with each ordered key one after the other."""
 
     def __init__(
         self,
@@ -55,10 +58,10 @@
         send_first: Callable[[int, ActiveRequest], bool],
         abandon_unsent: Callable[[ActiveRequest, int], None],
     ) -> None:
-        """Take the shared state and rules, and two operations of the balancer.
+        """Create the queues, with references to shared state and two operations of the balancer.
 
-        `send_first` sends a request's first attempt and returns whether it could; `abandon_unsent` gives a
-        request that was not sent its final answer.
+        `send_first` sends the first attempt of a request and returns whether that was possible.
+        `abandon_unsent` sends the final answer of a request that has no attempts.
         """
         self._key_cooldown_ns = key_cooldown_ns
         self._active_requests = active_requests
@@ -71,20 +74,20 @@
         self._queues: dict[int, KeyQueue] = {}  # by key
 
     def enqueue(self, now_ns: int, active: ActiveRequest) -> bool:
-        """Send the request or let it wait; return False if it can't be answered in time."""
+        """Send or queue a request; return False if it can't be sent, or not in time."""
         key = active.request.key
         queue = self._queues.get(key)
         if queue is None:
             if not self._send_first(now_ns, active):
                 return False
             queue = self._queues[key] = KeyQueue()
-        elif not self._wait(now_ns, active, queue):
+        elif not self._add_to_queue(now_ns, active, queue):
             return False
         queue.requests.append(active)
         return True
 
     def cool_down(self, now_ns: int, active: ActiveRequest, result: AttemptResult) -> None:
-        """Delay the next request of a key after an attempt that may still be running."""
+        """Delay the next request with a key after an attempt that may still be running."""
         if not active.request_class.ordered_by_key or result not in MAYBE_RUNNING:
             return
         queue = self._queues.get(active.request.key)
@@ -92,11 +95,11 @@
             queue.cooldown_until_ns = now_ns + self._key_cooldown_ns
 
     def on_request_complete(self, now_ns: int, active: ActiveRequest) -> None:
-        """Send the next request of the same key."""
+        """Send the next request with the same key."""
         if active.request.key in self._queues:
             self._send_next(active.request.key, now_ns)
 
-    def _wait(self, now_ns: int, active: ActiveRequest, queue: KeyQueue) -> bool:
+    def _add_to_queue(self, now_ns: int, active: ActiveRequest, queue: KeyQueue) -> bool:
         typical_ns = int(self._admission.typical_ns(active.request.class_index))
         open_ahead_count = sum(1 for other in queue.requests if not other.is_closed)
         latest_ns = active.useful_until_ns - typical_ns
@@ -108,7 +111,7 @@
         return True
 
     def _send_next(self, key: int, now_ns: int) -> None:
-        """Send the first request that waits and can be sent; forget the key if none waits."""
+        """Send the first waiting request that can be sent; remove the queue if no request waits."""
         queue = self._queues.get(key)
         while queue is not None:
             while queue.requests and queue.requests[0].is_complete():
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -1,32 +1,32 @@
-"""Ejection of endpoints that fail more than the others, and their reinstatement by a trial.
+"""Outlier detection: ejects endpoints that fail more than the others, and reinstates them after a trial.
 
-Each endpoint has a failure rate, an exponentially weighted mean over its attempts: 0 for a success (OK) and 1
-for an error, a time-out, a reset or a failed connection. The weight of the newest outcome is
+The failure rate of an endpoint is an exponentially weighted mean over its attempts: 0 for a success (OK), and
+1 for an error, a time-out, a reset or a failed connection. The weight of the newest result is
 
-- FAILURE_EWMA_WEIGHT for a success and, unless one of the next lines applies, for a failure: two failures in
-  a row eject
-- LOSS_AFTER_SUCCESS_EWMA_WEIGHT for a time-out or a reset of an endpoint with a success within
+- FAILURE_EWMA_WEIGHT for a success, and for a failure to which none of the next items applies: two failures
+  in a row eject the endpoint
+- LOSS_AFTER_SUCCESS_EWMA_WEIGHT for a time-out or a reset at an endpoint with a success within
   RECENT_SUCCESS_NS
-- RARE_FAILURE_EWMA_WEIGHT for an error, a time-out or a reset of one without a success for MAX_SILENCE_NS:
-  one failure ejects, as a node that sends it few requests can't wait for a second one
+- RARE_FAILURE_EWMA_WEIGHT for an error, a time-out or a reset at an endpoint without a success for
+  MAX_SILENCE_NS: one failure ejects it, as a node that sends it few requests can't wait for a second failure
 
-A success lowers the failure rate, but a single one never brings it to 0, except as a trial.
+A success lowers the failure rate, but a single success does not reset it to 0, unless it ends a trial.
 
 A failure ejects the endpoint if its failure rate is at least EJECTION_FAILURE_RATE and, unless the connection
-failed, OUTLIER_MULTIPLE times the rate of the whole fleet. At most MAX_EJECTED_RATIO of the ready endpoints
-are ejected at once, or MAX_UNREACHABLE_RATIO where connections fail; at this limit, one that fails much more
-replaces the ejected one with the lowest failure rate. So a fleet of fewer than four ready endpoints ejects
-only for failed connections. A failed connection does not count if the endpoint has had a success within
-MAX_SILENCE_NS.
+failed, at least OUTLIER_MULTIPLE times the failure rate of the whole fleet. At most MAX_EJECTED_RATIO of the
+ready endpoints are ejected at once, or MAX_UNREACHABLE_RATIO if the connection failed. At this limit, an
+endpoint replaces the ejected one with the lowest failure rate if its own is higher by more than
+REPLACEMENT_MARGIN_RATE. So in a fleet of fewer than four ready endpoints only failed connections eject. A
+failed connection does not count if the endpoint has had a success within MAX_SILENCE_NS.
 
     doublings = min(failed trials, MAX_EJECTION_DOUBLINGS)
     ejection = max(EJECTION_NS * 2 ** doublings, min(silence, MAX_SILENCE_EJECTION_NS)) * uniform(0.5, 1)
 
 An ejection lasts 1 s to 32 s; `silence` is the time without a success since the endpoint was listed. After
-the ejection one attempt is its trial: a success reinstates the endpoint, a failure ejects it again. See
-Envoy's outlier detection for the general mechanism.
+the ejection, one attempt is the trial of the endpoint: a success reinstates it, a failure ejects it again.
+See Envoy's outlier detection for the general mechanism.
 
-Failure that this is for: an endpoint that crashed, hangs or answers all requests with errors.
+This guards against an endpoint that has crashed, hangs or answers all requests with errors.
 """
 
 from __future__ import annotations
@@ -48,16 +48,16 @@
 RECENT_SUCCESS_NS = 500_000_000
 MAX_SILENCE_NS = 2_000_000_000
 EJECTION_FAILURE_RATE = 0.5
-OUTLIER_MULTIPLE = 2.5  # what fails everywhere is no endpoint's fault
+OUTLIER_MULTIPLE = 2.5  # failures of the whole fleet are not the fault of one endpoint
 REPLACEMENT_MARGIN_RATE = 0.25
-MAX_EJECTED_RATIO = 1 / 4  # more would overload the others
-MAX_UNREACHABLE_RATIO = 3 / 4  # failed connections are no sign of overload
+MAX_EJECTED_RATIO = 1 / 4  # ejecting more endpoints would overload the others
+MAX_UNREACHABLE_RATIO = 3 / 4  # failed connections are not a sign of overload
 EJECTION_NS = 2_000_000_000
 MAX_EJECTION_DOUBLINGS = 4
 MAX_SILENCE_EJECTION_NS = 4 * EJECTION_NS
 MIN_JITTER_RATIO = 0.5
-MAX_NOTICE_COUNT = 1024  # older ones are dropped where nobody takes them
-MAX_STALE_MULTIPLE = 8  # heap entries for each ejected endpoint, before the heap is rebuilt
+MAX_NOTICE_COUNT = 1024  # the oldest notices are dropped if the caller does not remove them
+MAX_STALE_MULTIPLE = 8  # heap entries per ejected endpoint above which the heap is rebuilt
 
 NOT_COUNTED = (
     AttemptResult.CANCELLED,
@@ -65,7 +65,7 @@
     AttemptResult.REJECTED,
     AttemptResult.CLIENT_ERROR,
 )
-"""Results that are neither a success nor a failure of the endpoint."""
+"""Results that count neither as a success nor as a failure of the endpoint."""
 
 
 class OutlierDetector:
@@ -76,19 +76,18 @@
         self._random = random
         self._fleet_failure_rate = 0.0
         self.notices: deque[api.Notice] = deque(maxlen=MAX_NOTICE_COUNT)
-        """Ejections and reinstatements that the embedder has not taken, the oldest first."""
+        """Ejections and reinstatements that the caller has not removed yet, the oldest first."""
         self.ejected: dict[EndpointStatus, None] = {}
-        """The ready endpoints that are ejected; a dict, as its order is the same in each process."""
-        self._by_failure_rate: list[
-            tuple[float, api.EndpointId]
-        ] = []  # heap of `ejected`, some entries stale
+        """The ready endpoints that are ejected; a dict, as the order of a set differs between processes."""
+        # A heap over `ejected`, with entries that are out of date.
+        self._by_failure_rate: list[tuple[float, api.EndpointId]] = []
 
     def may_try(self, now_ns: int, status: EndpointStatus) -> bool:
-        """Return whether an ejected endpoint may be sent its trial."""
+        """Return whether the trial attempt may be sent to an ejected endpoint."""
         return not status.is_on_trial and now_ns >= status.ejected_until_ns
 
     def on_attempt_sent(self, status: EndpointStatus) -> None:
-        """Note that an attempt at an ejected endpoint is its trial."""
+        """Record that an attempt at an ejected endpoint is its trial."""
         status.is_on_trial = status.ejected_until_ns > 0
 
     def on_attempt_ended(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
@@ -100,7 +99,7 @@
         if result is AttemptResult.OK:
             status.succeeded_at_ns = now_ns
         elif result is AttemptResult.CONNECT_FAILED and now_ns - status.succeeded_at_ns < MAX_SILENCE_NS:
-            return  # it has succeeded lately on other connections
+            return  # the endpoint has recently answered on other connections
         is_failed = result is not AttemptResult.OK
         weight = self._outcome_weight(now_ns, status, result)
         status.failure_rate += weight * (is_failed - status.failure_rate)
@@ -108,11 +107,11 @@
         self.track(status)
         if was_on_trial:
             self._end_trial(now_ns, status, result)
-        elif is_failed and not status.ejected_until_ns and self.make_room_for_ejection(status, result):
+        elif is_failed and not status.ejected_until_ns and self.reserve_ejection(status, result):
             self.eject(now_ns, status, result)
 
-    def make_room_for_ejection(self, status: EndpointStatus, result: AttemptResult) -> bool:
-        """Return whether a failure ejects; at the limit, reinstate another endpoint for it."""
+    def reserve_ejection(self, status: EndpointStatus, result: AttemptResult) -> bool:
+        """Return whether a failure ejects the endpoint; at the limit, reinstate another one to allow it."""
         is_unreachable = result is AttemptResult.CONNECT_FAILED
         if status.failure_rate < EJECTION_FAILURE_RATE:
             return False
@@ -121,14 +120,17 @@
         max_ratio = MAX_UNREACHABLE_RATIO if is_unreachable else MAX_EJECTED_RATIO
         max_ejected = max_ratio * len(self._endpoints.ready)
         if 1 + len(self.ejected) > max_ejected:
-            mildest = self._ejected_with_min_failure_rate()
-            if mildest is not None and mildest.failure_rate < status.failure_rate - REPLACEMENT_MARGIN_RATE:
-                self.reinstate(mildest)
+            replaceable = self._ejected_with_min_failure_rate()
+            if (
+                replaceable is not None
+                and replaceable.failure_rate < status.failure_rate - REPLACEMENT_MARGIN_RATE
+            ):
+                self.reinstate(replaceable)
         return 1 + len(self.ejected) <= max_ejected
 
     def eject(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
-        """Eject an endpoint for a time drawn at random, after an attempt with this result."""
-        # An endpoint that seldom gets requests of this node would get none within a shorter time.
+        """Eject an endpoint for a random duration, after an attempt with this result."""
+        # A shorter ejection has no effect on an endpoint that seldom gets requests of this node.
         silence_ns = min(status.silence_ns(now_ns), MAX_SILENCE_EJECTION_NS)
         ejection_ns = max(silence_ns, EJECTION_NS << status.ejection_doublings)
         duration_ns = jittered_ns(self._random, ejection_ns, MIN_JITTER_RATIO)
@@ -141,23 +143,28 @@
         )
 
     def reinstate(self, status: EndpointStatus) -> None:
-        """End an endpoint's ejection, and forget its failures."""
+        """End the ejection of an endpoint, and reset its failure rate."""
         if status.ejected_until_ns:
             self.notices.append(api.EndpointReinstated(status.endpoint.id))
         status.reset_failures()
         self.ejected.pop(status, None)
 
     def track(self, status: EndpointStatus) -> None:
-        """Count an endpoint that is ready and ejected; due when either or its failure rate changes."""
+        """Add an endpoint that is ready and ejected to `ejected`, with its present failure rate.
+
+        Has to be called when the endpoint becomes ready or ejected, and when its failure rate changes.
+        """
         if not status.ejected_until_ns or not status.is_ready:
             return
         self.ejected[status] = None
         heappush(self._by_failure_rate, (status.failure_rate, status.endpoint.id))
         if len(self._by_failure_rate) > MAX_STALE_MULTIPLE * (MAX_STALE_MULTIPLE + len(self.ejected)):
-            self._by_failure_rate = sorted((one.failure_rate, one.endpoint.id) for one in self.ejected)
+            self._by_failure_rate = sorted(
+                (status.failure_rate, status.endpoint.id) for status in self.ejected
+            )
 
     def forget(self, status: EndpointStatus) -> None:
-        """Stop counting an endpoint that is no longer ready; it stays ejected."""
+        """Remove an endpoint that is no longer ready from `ejected`; its ejection does not end."""
         self.ejected.pop(status, None)
 
     def _end_trial(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
@@ -177,7 +184,7 @@
         return FAILURE_EWMA_WEIGHT
 
     def _ejected_with_min_failure_rate(self) -> EndpointStatus | None:
-        """Return the one with the lowest id where several have the same rate."""
+        """Return the ejected endpoint with the lowest failure rate; the lowest id breaks ties."""
         heap = self._by_failure_rate
         while heap:
             failure_rate, endpoint_id = heap[0]
--- a/moleport/policy/quotas.py
+++ b/moleport/policy/quotas.py
@@ -1,12 +1,12 @@
-"""Tenants' quotas: a token bucket for each tenant, filled by the requests of the others.
+"""Tenant quotas: a token bucket per tenant, which the requests of the other tenants fill.
 
-A tenant with the quota q of the service's capacity may send q / (1 - q) requests for each request of another
-tenant. Each one therefore earns q / (1 - q) * QUOTA_SLACK_FACTOR tokens, up to QUOTA_BURST_REQUESTS, and each
-request within the quota takes one. Neither the part of the total traffic that this node carries nor the
-tenant's own arrivals change the comparison. A request beyond the quota is not rejected for it alone:
-admission applies only a part of the cap of its class to it.
+A tenant with a quota q of the service's capacity may send q / (1 - q) requests per request of another tenant.
+So each request of another tenant adds q / (1 - q) * QUOTA_SLACK_FACTOR tokens, up to QUOTA_BURST_REQUESTS,
+and each request within the quota consumes one. The comparison depends neither on the part of the total
+traffic that this node gets nor on the arrivals of the tenant itself. A request that exceeds the quota is not
+rejected for this reason alone: admission applies only a part of the cap of its class to it.
 
-Failure that this is for: a burst of one tenant's requests that crowds out those of the other tenants.
+This guards against a burst of one tenant's requests that displaces those of the other tenants.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A tenant's unused requests."""
+    """Token bucket of one tenant; a token allows one request."""
 
     tokens: float = QUOTA_BURST_REQUESTS
     refilled_at_count: int = 0
-    """Arrivals of all tenants when the tokens were last refilled."""
+    """Number of arrivals of all tenants at the last refill."""
 
 
 class TenantQuotas:
-    """Tells which requests are beyond their tenant's quota."""
+    """Decides which requests exceed the quota of their tenant."""
 
     def __init__(self, tenants: tuple[api.Tenant, ...]) -> None:
         self._tenants = tenants
-        self._arrival_count = 0  # of all tenants
+        self._arrival_count = 0  # requests of all known tenants
         self._buckets: dict[int, TokenBucket] = {}  # by tenant index
 
     def is_over_quota(self, tenant_index: int) -> bool:
-        """Count a request of the tenant, and return whether it is beyond the tenant's quota.
+        """Count a request of a tenant, and return whether it exceeds the quota of the tenant.
 
         Unknown tenants have no quota and are not counted.
         """
--- a/moleport/policy/retries.py
+++ b/moleport/policy/retries.py
@@ -1,17 +1,17 @@
-"""Retries: what forbids a further attempt, and the budget that bounds all of them.
+"""Retries: the conditions for a further attempt, and the budget for all retries of the node.
 
 A request whose attempt has ended without an answer is retried unless
 
 - another attempt of it is in flight
-- too little time is left: at most MIN_REMAINING_MULTIPLE times the typical response time of its class
-- it has used the settings' `max_attempts`
-- the retry budget is empty; each first attempt adds RETRY_BUDGET_RATIO of a retry, up to
-  RETRY_BURST_ATTEMPTS. A retry of an attempt that did not reach its endpoint is free
-- no endpoint is left that may be used (selection), or only such that could execute it twice (state)
+- the remaining time is at most MIN_REMAINING_MULTIPLE times the typical response time of its class
+- it has used the setting `max_attempts`
+- the retry budget does not cover it. Each first attempt adds RETRY_BUDGET_RATIO of a retry to the budget, up
+  to RETRY_BURST_ATTEMPTS. A retry of an attempt that did not reach its endpoint costs nothing
+- no endpoint may be used (selection), or each one left could execute the request twice (state)
 
 A request that may not be retried gets its final answer (final_answers).
 
-Failure that this is for: retries that multiply the load of endpoints that are overloaded already.
+This guards against retries that multiply the load on endpoints that are already overloaded.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 MIN_REMAINING_MULTIPLE = 0.5
 
 UNREACHED = (AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
-"""Results that prove that an attempt put no load on its endpoint."""
+"""Results which prove that an attempt put no load on its endpoint."""
 
 
 class RetryPolicy:
@@ -37,7 +37,7 @@
         self._budget = RETRY_BURST_ATTEMPTS
 
     def on_first_attempt(self) -> None:
-        """Add to the budget."""
+        """Add the retry ratio of one first attempt to the budget."""
         self._budget = min(RETRY_BURST_ATTEMPTS, self._budget + RETRY_BUDGET_RATIO)
 
     def may_retry(self, now_ns: int, active: ActiveRequest, result: AttemptResult) -> bool:
@@ -48,12 +48,12 @@
             return False
         if len(active.attempts) >= self._max_attempts:
             return False
-        return self._budget >= _cost(result)
+        return self._budget >= _budget_cost(result)
 
     def on_retry(self, result: AttemptResult) -> None:
-        """Take a retry after this result from the budget."""
-        self._budget -= _cost(result)
+        """Subtract the cost of a retry after this result from the budget."""
+        self._budget -= _budget_cost(result)
 
 
-def _cost(result: AttemptResult) -> float:
+def _budget_cost(result: AttemptResult) -> float:
     return 0.0 if result in UNREACHED else 1.0
--- a/moleport/policy/selection.py
+++ b/moleport/policy/selection.py
@@ -1,22 +1,25 @@
 """Selection of an endpoint: power of two choices among the endpoints that the key hashes to.
 
-The key of a request (a random one if it has none) names a sequence of endpoints by weighted hashing; every
-other one is of the node's own zone, as far as that zone can carry it. A hot key starts at a random place of
-its fan-out. Where the node uses a subset (endpoint_subset), a request without a key draws from that instead,
-every other time from its own zone. An endpoint is passed over for the part of the keys that its hardware type
-gives up. After MAX_DRAW_COUNT places all ready endpoints follow, from a place that depends on the key.
-
-Of these, the first two that may be used are compared by load score, and the lower one is selected. Passed
-over are endpoints that this request was sent to, those where it could be executed twice, ejected ones, those
-that slow start limits, and those that reject more than MAX_REJECTION_RATE of the class. After
-MAX_REJECTING_COUNT rejecting endpoints the search stops; if no other was found the least loaded of these is
-used. After a failed connection up to CHOICES_AFTER_CONNECT_FAILURE_COUNT are compared.
+Weighted hashing maps the key of a request (a random key if it has none) to a sequence of endpoints. Every
+second one is from the node's own zone, for the keys that this zone has capacity for (candidate_index). For a
+hot key the sequence starts at a random position of its fan-out (hot_keys). If the node uses a subset
+(endpoint_subset), a request without a key draws endpoints from the subset instead, every second one from the
+node's own zone. An endpoint is skipped for the fraction of the keys that its hardware type does not get
+(hardware_types). After MAX_DRAW_COUNT draws the sequence continues with all ready endpoints, from a position
+that depends on the key.
+
+The first two endpoints of the sequence that may be used are compared by load score, and the one with the
+lower score is selected. Endpoints are skipped if this request was already sent to them, if they could execute
+it twice, if they are ejected, if slow start limits them, or if they reject more than MAX_REJECTION_RATE of
+the class. After MAX_REJECTING_COUNT rejecting endpoints the search stops; if no other endpoint was found, the
+least loaded rejecting one is selected. After a failed connection, up to CHOICES_AFTER_CONNECT_FAILURE_COUNT
+endpoints are compared instead of two.
 
     load score = (requests of this node in flight + penalties) * response_time_ratio / (weight * hash_ratio)
 
-Penalties, in requests: up to 1 for a utilization above HIGH_UTILIZATION_RATIO, by the rejection rate up to
-REJECTION_PENALTY_REQUESTS, and up to CONNECT_PENALTY_REQUESTS where an endpoint has no idle connection while
-new connections fail.
+The penalties, in requests, are up to 1 for a utilization above HIGH_UTILIZATION_RATIO, up to
+REJECTION_PENALTY_REQUESTS in proportion to the rejection rate, and up to CONNECT_PENALTY_REQUESTS for an
+endpoint without a usable idle connection while new connections fail.
 
 Source: Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, IEEE TPDS 2001.
 """
@@ -44,15 +47,15 @@
 MAX_REJECTION_RATE = 0.5
 MAX_REJECTING_COUNT = 100
 REJECTION_PENALTY_REQUESTS = 2.0
-REJECTION_RATE_DIGIT_COUNT = 1  # a small rest of a rate must not break ties
+REJECTION_RATE_DIGIT_COUNT = 1  # rounds rates: a small remainder of an old rate must not break ties
 HIGH_UTILIZATION_RATIO = 0.7
 MIN_CONNECT_FAILURE_RATE = 0.1
 CONNECT_PENALTY_REQUESTS = 8.0
-PLACE_BITS = 64
+KEY_BITS = 64
 
 
 class EndpointSelector:
-    """Selects the endpoint for an attempt."""
+    """Selects the endpoint of each attempt."""
 
     def __init__(
         self,
@@ -76,7 +79,7 @@
         self._slow_start = slow_start
 
     def select(self, now_ns: int, active: ActiveRequest) -> EndpointStatus | None:
-        """Return the endpoint for the next attempt, or None if there is none that may be used."""
+        """Return the endpoint for the next attempt, or None if no endpoint may be used."""
         attempts = active.attempts
         seen = {attempt.status for attempt in attempts}
         last_connect_failed = bool(attempts) and attempts[-1].result is AttemptResult.CONNECT_FAILED
@@ -84,7 +87,7 @@
         class_index = active.request.class_index
         choices: list[EndpointStatus] = []
         rejecting: list[EndpointStatus] = []
-        for status in self._preferred(active):
+        for status in self._candidates_by_preference(active):
             if status in seen or (attempts and not active.may_send_to(status.endpoint, now_ns)):
                 continue
             seen.add(status)
@@ -98,12 +101,12 @@
                 break
         return min(choices or rejecting, key=partial(self._load_score, now_ns, class_index), default=None)
 
-    def _preferred(self, active: ActiveRequest) -> Iterator[EndpointStatus]:
-        """Yield endpoints in the order of preference; some come more than once."""
+    def _candidates_by_preference(self, active: ActiveRequest) -> Iterator[EndpointStatus]:
+        """Yield endpoints in the order of preference, some of them more than once."""
         ready = self._ready
         if not ready:
             return
-        key = active.request.key or self._random.getrandbits(PLACE_BITS)
+        key = active.request.key or self._random.getrandbits(KEY_BITS)
         if not active.request.key and self._subset.is_narrow():
             yield from self._subset_candidates()
         else:
@@ -113,7 +116,7 @@
             yield ready[index % len(ready)]
 
     def _subset_candidates(self) -> Iterator[EndpointStatus]:
-        """Yield endpoints for a request without a key, where the node uses a subset."""
+        """Yield random endpoints of the subset, for a request without a key."""
         for draw in range(MAX_DRAW_COUNT):
             status = self._subset.draw(self._random, prefer_own_zone=not draw % 2)
             ratio = self._hardware_types[status.endpoint.hardware_type].hash_ratio
@@ -121,17 +124,17 @@
                 yield status
 
     def _hashed_candidates(self, key: int) -> Iterator[EndpointStatus]:
-        """Yield the endpoints that a key hashes to."""
+        """Yield the endpoints that a key hashes to, in the order of its sequence."""
         find, hardware_types = self._candidates.find, self._hardware_types
         fan_out = self._hot_keys.fan_out.get(key, 1)
-        first = self._random.randrange(fan_out) if fan_out > 1 else 0
-        for draw in range(first, first + MAX_DRAW_COUNT):
-            place = mix64(key + draw)
-            prefer_own_zone = not (draw - first) % 2
-            status = find(place, prefer_own_zone)
+        first_draw = self._random.randrange(fan_out) if fan_out > 1 else 0
+        for draw in range(first_draw, first_draw + MAX_DRAW_COUNT):
+            key_hash = mix64(key + draw)
+            prefer_own_zone = not (draw - first_draw) % 2
+            status = find(key_hash, prefer_own_zone)
             if status is not None:
                 ratio = hardware_types[status.endpoint.hardware_type].hash_ratio
-                if ratio >= 1.0 or (place >> HASH_RATIO_SHIFT_BITS) < ratio * HASH_RATIO_SCALE:
+                if ratio >= 1.0 or (key_hash >> HASH_RATIO_SHIFT_BITS) < ratio * HASH_RATIO_SCALE:
                     yield status
 
     def _load_score(self, now_ns: int, class_index: int, status: EndpointStatus) -> float:
--- a/moleport/policy/timing.py
+++ b/moleport/policy/timing.py
@@ -1,12 +1,12 @@
-"""The measurement window that several rules share, and jitter."""
+"""The measurement window that several modules share, and jitter."""
 
 from __future__ import annotations
 
 from random import Random
 
-WINDOW_NS = 500_000_000  # between two updates of the rates
+WINDOW_NS = 500_000_000  # time between two updates of rates and caps
 
 
 def jittered_ns(random: Random, max_ns: int, min_ratio: float) -> int:
-    """Draw a time in ns evenly from min_ratio * max_ns up to max_ns."""
+    """Return a uniformly distributed random time in ns, from min_ratio * max_ns to max_ns."""
     return int(max_ns * random.uniform(min_ratio, 1.0))
--- a/tests/policy/test_periodic_update.py
+++ b/tests/policy/test_periodic_update.py
@@ -60,12 +60,9 @@
         node.balancer._outliers.eject(node.now, status, api.AttemptResult.ERROR)
     failing = node.balancer._endpoints.ready[1500]
     failing.failure_rate = 0.8
-    assert (
-        operations(lambda: node.balancer._outliers.make_room_for_ejection(failing, AttemptResult.TIMEOUT))
-        < 2000
-    )
-    assert not node.balancer._outliers.make_room_for_ejection(failing, AttemptResult.TIMEOUT)
-    assert node.balancer._outliers.make_room_for_ejection(failing, AttemptResult.CONNECT_FAILED)
+    assert operations(lambda: node.balancer._outliers.reserve_ejection(failing, AttemptResult.TIMEOUT)) < 2000
+    assert not node.balancer._outliers.reserve_ejection(failing, AttemptResult.TIMEOUT)
+    assert node.balancer._outliers.reserve_ejection(failing, AttemptResult.CONNECT_FAILED)
 
 
 def test_at_the_ejection_limit_a_worse_endpoint_replaces_the_one_with_the_min_failure_rate() -> None:
@@ -76,9 +73,9 @@
         node.balancer._outliers.eject(node.now, status, api.AttemptResult.ERROR)
     ready[5].failure_rate = 0.8
     # Not that much worse.
-    assert not node.balancer._outliers.make_room_for_ejection(ready[5], AttemptResult.TIMEOUT)
+    assert not node.balancer._outliers.reserve_ejection(ready[5], AttemptResult.TIMEOUT)
     ready[5].failure_rate = 1.0
-    assert node.balancer._outliers.make_room_for_ejection(ready[5], AttemptResult.TIMEOUT)
+    assert node.balancer._outliers.reserve_ejection(ready[5], AttemptResult.TIMEOUT)
     assert [bool(one.ejected_until_ns) for one in ready[:3]] == [True, False, True]  # the lower id of two
 
 
