--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -65,7 +65,7 @@
         """
         self._context = context
         self._table = context.table
-        # Lower bound (monotonic ns) of when the data unread in the kernel arrived; 0: none is known to wait.
+        # Lower bound (monotonic ns) of when data unread in the kernel arrived; 0: none is known.
         self._earliest_unread_arrival_ns = earliest_arrival_ns
         self._peer_shutdown_poll = select.poll()
         self._loop = asyncio.get_running_loop()
@@ -86,7 +86,7 @@
     # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection and bound the arrival time of data that it has not read yet."""
+        """Register the connection, and set the lower bound for the arrival of its unread data."""
         self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
         transport.set_write_buffer_limits(high=0)  # resume_writing reports a full write
         now = monotonic_ns()
@@ -145,7 +145,7 @@
         return has_pending_request and not self._is_closing
 
     def resume_writing(self) -> None:
-        """Continue after a buffered response is fully written, which a slowly reading client had delayed."""
+        """Continue once a response that the client reads slowly is fully written."""
         if self._write_timer is not None:
             self._write_timer.cancel()
             self._write_timer = None
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -92,7 +92,7 @@
         await self.endpoint_list.wait_until_synced()
 
     def fail_all_requests(self) -> None:
-        """Answer 504 to all active requests and reject new ones, as the process is about to exit."""
+        """Answer 504 to all unanswered requests and reject new ones, as the process is about to exit."""
         self.requests.fail_all()
 
     def attempts_in_flight_by_policy(self) -> int:
--- a/moleport/node/parsed_request.py
+++ b/moleport/node/parsed_request.py
@@ -1,4 +1,4 @@
-"""The state of one request while it is parsed and after."""
+"""A client's request, during and after parsing."""
 
 from __future__ import annotations
 
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -25,7 +25,9 @@
 log = logging.getLogger(__name__)
 
 RESPONSE_TRANSIT_NS = 5 * NS_PER_MS
-"""A final response is sent this long before the client's deadline, to reach the client in time."""
+"""Attempts, and the time that the policy is given, end this long before the client's deadline.
+
+The final response then reaches the client in time."""
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -199,7 +201,7 @@
     # Final responses and the end of requests.
 
     def fail_all(self) -> None:
-        """Answer 504 to all active requests and reject new ones, as the process is about to exit."""
+        """Answer 504 to all unanswered requests and reject new ones, as the process is about to exit."""
         self._is_shutting_down = True
         for request in list(self.active.values()):
             self._on_deadline(request)
