--- a/tests/node/test_clients.py
+++ b/tests/node/test_clients.py
@@ -285,7 +285,7 @@
 
 
 def test_pipelined_requests_stay_in_the_kernel_until_they_are_processed() -> None:
-    """A client that sends thousands of requests ahead fills its own queue, not the memory of the node."""
+    """A client that pipelines thousands of requests fills its socket buffers, not the memory of the node."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
@@ -575,7 +575,7 @@
 def test_a_timer_is_set_again_after_the_policy_raised_an_exception_on_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Otherwise a periodic timer, whose handler sets the next one, would never fire again."""
+    """A periodic timer is set by its own handler, so an exception there would otherwise stop it for good."""
     monkeypatch.setattr("moleport.node.policy_timers.RETRY_AFTER_FAILURE_NS", 1_000_000)
     failed_timer_ids: list[int] = []
 
@@ -596,7 +596,7 @@
 
 @pytest.mark.parametrize("class_name", ["page", "order"])
 def test_a_request_id_may_be_reused_on_a_new_connection_after_the_old_one_is_reset(class_name: str) -> None:
-    """The node sees both in one loop iteration with the attempt in flight; the id is free by then."""
+    """The node reads the reset and the new request in one loop iteration, with the attempt in flight."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
@@ -655,7 +655,7 @@
 
 
 def test_clients_queued_at_a_full_table_are_answered_before_the_shutdown_ends() -> None:
-    """The listening socket is not closed while clients wait to be accepted."""
+    """The listening socket stays open while clients wait to be accepted."""
     release = asyncio.Event()
 
     async def respond_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -681,7 +681,7 @@
 
 
 def test_a_request_completed_at_the_end_of_a_shutdown_is_rejected() -> None:
-    """Otherwise it would be forwarded, and its response lost when the process exits."""
+    """A request that is forwarded at the end of a shutdown would be lost when the process exits."""
 
     async def test() -> None:
         async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
--- a/tests/node/test_clocks.py
+++ b/tests/node/test_clocks.py
@@ -64,7 +64,7 @@
         await self._stack.aclose()
 
     def restart(self, server: Server, offset_ms: int) -> None:
-        """Push an update that a server has started now, by a clock with this offset."""
+        """Push an update that a server has just restarted, with a start time by a clock with this offset."""
         server.started_ms = wall_time_ms(offset_ms)
         self.agent.push(self._version, server)
         self._version += 1
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("offset_ms", [0, HOUR_MS])
 def test_a_server_that_starts_with_the_node_is_in_slow_start(offset_ms: int, tmp_path: Path) -> None:
-    """The offset of the node's wall clock has no influence on this."""
+    """Slow start does not depend on the offset of the node's wall clock."""
 
     async def test() -> None:
         async with ClockTestbed(tmp_path, offset_ms, [None, None, None, 0]) as testbed:
--- a/tests/node/test_departures.py
+++ b/tests/node/test_departures.py
@@ -138,7 +138,7 @@
 
 
 def test_requests_of_clients_that_disconnected_while_the_loop_was_blocked_are_not_forwarded() -> None:
-    """The loop then reads a request and the end of stream behind it."""
+    """After it was blocked, the event loop reads each request with the end of stream behind it."""
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
--- a/tests/node/test_own_faults.py
+++ b/tests/node/test_own_faults.py
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize("name", ["ENETUNREACH", "EHOSTUNREACH", "ECONNREFUSED"])
 def test_requests_to_a_single_unreachable_server_go_to_the_others(name: str, tmp_path: Path) -> None:
-    """A fault of one server's address is that server's fault, and the others get the requests."""
+    """An unreachable address counts as a fault of its server, and the other servers get the requests."""
 
     async def test() -> None:
         async with local_faults_testbed(tmp_path) as (faults, servers, node):
@@ -116,9 +116,8 @@
             faults.set(connect_errno=getattr(errno, name), connect_port=port)
             start_time = asyncio.get_running_loop().time()
             assert (await send_steadily(node, 1.0, 0.005)).keys() == {200}
-            assert (
-                asyncio.get_running_loop().time() - start_time < 1.5
-            )  # no request waits for the unreachable server
+            # No request waits for the unreachable server.
+            assert asyncio.get_running_loop().time() - start_time < 1.5
             assert not servers[0].seen
 
     run(test())
