--- a/tests/node/test_attempt_states.py
+++ b/tests/node/test_attempt_states.py
@@ -1,4 +1,4 @@
-"""What an attempt's owner and pool make of it follows from its state."""
+"""Tests of the states of an attempt, and of how its owner and its pool treat it in each state."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class FailingLoop(uvloop.Loop):
-    """An event loop whose connections to one port fail."""
+    """An event loop on which connecting to one port fails with EADDRNOTAVAIL."""
 
     failing_port = 0
 
@@ -47,33 +47,33 @@
 
 
 async def write_after_local_fault(rig: Rig, server: Server, release: asyncio.Event) -> Client:
-    """Have a request written on an idle connection, after connecting has failed for a local fault."""
+    """Make an attempt use an idle connection after a local fault in connecting, and return its client."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, FailingLoop)
-    first, second = await rig.client(), await rig.client()
-    first.writer.write(request("page"))
+    first_client, second_client = await rig.client(), await rig.client()
+    first_client.writer.write(request("page"))
     await until(lambda: server.seen)
     loop.failing_port = int(server.address.rpartition(":")[2])
-    second.writer.write(request("order"))
+    second_client.writer.write(request("order"))
     await until(lambda: len(rig.node.requests.active) == 2)
     await asyncio.sleep(0.02)
     release.set()
-    assert status(await first.read()) == 200
+    assert status(await first_client.read()) == 200
     await until(lambda: len(server.seen) == 2)
-    return second
+    return second_client
 
 
 def test_a_request_written_after_a_local_fault_is_in_flight_as_its_server_drains() -> None:
-    """Ended as not sent, it would be executed twice."""
+    """An attempt in flight that ended as not sent would be retried, and the request executed twice."""
     release, finish = asyncio.Event(), asyncio.Event()
 
-    async def waits(message: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_released(message: Message, writer: asyncio.StreamWriter) -> None:
         await (release if message.first.startswith("GET") else finish).wait()
         writer.write(answer())
 
     async def test() -> None:
         async with (
-            Server("s-1", waits) as draining,
+            Server("s-1", respond_when_released) as draining,
             Server("s-2") as other,
             Rig(configuration(draining)) as rig,
         ):
@@ -85,7 +85,7 @@
             assert not other.seen
             finish.set()
             assert status(await client.read()) == 200
-            assert [one.result for one in rig.spy.outcomes()] == [AttemptResult.OK] * 2
+            assert [outcome.result for outcome in rig.spy.outcomes()] == [AttemptResult.OK] * 2
             assert not rig.node.telemetry.violations
 
     with asyncio.Runner(loop_factory=FailingLoop) as runner:
@@ -96,20 +96,20 @@
 def test_a_written_attempt_that_is_ended_as_not_executed_is_a_violation_and_not_retried(
     result: AttemptResult,
 ) -> None:
-    async def waits(_: Message, __: asyncio.StreamWriter) -> None:
+    async def never_respond(_: Message, __: asyncio.StreamWriter) -> None:
         await asyncio.sleep(PATIENCE)
 
     async def test() -> None:
-        one, two = Server("s-1", waits), Server("s-2", waits)
-        async with one, two, Rig(configuration(one, two)) as rig:
+        first, second = Server("s-1", never_respond), Server("s-2", never_respond)
+        async with first, second, Rig(configuration(first, second)) as rig:
             client = await rig.client()
             client.writer.write(request("order"))
-            await until(lambda: one.seen or two.seen)
+            await until(lambda: first.seen or second.seen)
             (pending,) = rig.node.requests.active.values()
             (attempt,) = pending.attempts.values()
             attempt.end(result)
             assert status(await client.read()) == 502
-            assert len(one.seen) + len(two.seen) == 1
+            assert len(first.seen) + len(second.seen) == 1
             assert rig.node.telemetry.violations == {Invariant.RESULT_MATCHES_WRITE: 1}
 
     run(test())
@@ -117,23 +117,23 @@
 
 def test_only_attempts_that_wait_or_connect_are_unsent(monkeypatch: pytest.MonkeyPatch) -> None:
     unsent_at_write: list[bool] = []
-    retired: list[ConnectionPool] = []
+    pools: list[ConnectionPool] = []
     write_request = Attempt._write_request
 
-    def observe(self: Attempt, *arguments: Any) -> None:
+    def record_write(self: Attempt, *arguments: Any) -> None:
         write_request(self, *arguments)
         unsent_at_write.append(self in self.pool.unsent)
-        retired.append(self.pool)
+        pools.append(self.pool)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            monkeypatch.setattr(Attempt, "_write_request", observe)
+            monkeypatch.setattr(Attempt, "_write_request", record_write)
             client = await rig.client()
             for _ in range(2):  # on a new and on an idle connection
                 assert status(await client.ask(request())) == 200
                 await asyncio.sleep(0.02)
             assert unsent_at_write == [False, False]
-            assert not any(pool.unsent for pool in retired)
+            assert not any(pool.unsent for pool in pools)
 
     run(test())
 
@@ -143,11 +143,11 @@
 def test_time_used_up_waiting_for_permission_is_not_the_server_s_fault(
     connection: str, limit: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a hold an attempt waits until the endpoint list is read."""
+    """After a hold, an attempt has to wait for permission until the endpoint list has been read."""
     authorize_write = AttemptSupervisor.authorize_write
     permitted: list[bool] = []
 
-    def wait(self: AttemptSupervisor, attempt: Attempt) -> WritePermission:
+    def wait_until_permitted(self: AttemptSupervisor, attempt: Attempt) -> WritePermission:
         if not permitted and not (connection == "new" and attempt._new_connection is None):
             return WritePermission.WAIT
         return authorize_write(self, attempt)
@@ -157,28 +157,31 @@
             client = await rig.client()
             if connection == "idle":
                 assert status(await client.ask(request())) == 200
-            before = len(rig.spy.outcomes())
-            monkeypatch.setattr(AttemptSupervisor, "authorize_write", wait)
+            earlier_count = len(rig.spy.outcomes())
+            monkeypatch.setattr(AttemptSupervisor, "authorize_write", wait_until_permitted)
             if limit == "attempt":
-                decided = [api.Forward(before + 1, hash_name("s-1"), 50 * NS_PER_MS)]
-                rig.spy.instead = lambda event: decided if isinstance(event, api.Request) else None
+                actions = [api.Forward(earlier_count + 1, hash_name("s-1"), 50 * NS_PER_MS)]
+                rig.spy.instead = lambda event: actions if isinstance(event, api.Request) else None
             client.writer.write(request("order", X_Deadline="60m" if limit == "deadline" else "5000m"))
             await asyncio.sleep(0.07)
             permitted.append(True)
             assert status(await client.read()) in (503, 504)
-            results = [one.result for one in rig.spy.outcomes()[before:]]
+            results = [outcome.result for outcome in rig.spy.outcomes()[earlier_count:]]
             assert AttemptResult.CONNECT_FAILED not in results
-            assert len(server.seen) == before
+            assert len(server.seen) == earlier_count
 
     run(test())
 
 
 def test_a_retry_of_a_request_that_has_ended_meanwhile_leaves_nothing_in_flight() -> None:
-    """The policy counted it as in flight for good, as it was reported as the first attempt."""
+    """A retry of a request that was removed must be reported as not sent under its own index.
+
+    It was reported as the first attempt, so the policy counted the retry as in flight forever.
+    """
 
     async def test() -> None:
-        one, two = Server("s-1", says(answer(500))), Server("s-2", says(answer(500)))
-        async with one, two, Rig(configuration(one, two)) as rig:
+        first, second = Server("s-1", says(answer(500))), Server("s-2", says(answer(500)))
+        async with first, second, Rig(configuration(first, second)) as rig:
 
             def end_request(event: api.Event) -> None:
                 if isinstance(event, api.AttemptOutcome) and event.attempt_index == 0:
@@ -188,7 +191,7 @@
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: len(rig.spy.outcomes()) > 1)
-            assert len(one.seen) + len(two.seen) == 1
+            assert len(first.seen) + len(second.seen) == 1
             rig.node._dispatch_event(api.ClientDisconnected(1))
             assert rig.node.attempts_in_flight_by_policy() == 0
 
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to servers: which are reused, which are closed, and how many there may be."""
+"""Tests of connections to servers: reuse, closing, and the limit on their number."""
 
 from __future__ import annotations
 
@@ -36,7 +36,9 @@
 
 async def send_at_once(rig: Rig, count: int) -> list[int]:
     clients = [await rig.client() for _ in range(count)]
-    return [status(got) for got in await asyncio.gather(*(client.ask(request()) for client in clients))]
+    return [
+        status(response) for response in await asyncio.gather(*(client.ask(request()) for client in clients))
+    ]
 
 
 def test_the_most_recently_used_connection_is_reused_first(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -57,36 +59,36 @@
     run(test())
 
 
-def test_a_connection_cools_down_after_a_response_and_is_checked_before_reuse(
+def test_a_connection_is_not_reused_right_after_a_response_nor_with_unread_data(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A duplicate of a response may still be in the kernel as the next request is written.
+    """A duplicate response may still be in the kernel when the next request is written.
 
-    The client of that request would get the duplicate as its response.
+    The client of that request would receive the duplicate as its response.
     """
     monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 10**12)
 
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
 
-        async def note(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def echo(message: Message, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
             writer.write(answer(body=message.body))
 
-        async with Server("s-1", note) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", echo) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             assert (await client.ask(request(body=b"one"))).body == b"one"
             assert (await client.ask(request(body=b"two"))).body == b"two"
-            assert server.connections == 2  # the first one is cooling down
+            assert server.connections == 2  # the first connection is still within COOL_DOWN_NS
             monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
             (pool,) = rig.node._pools._pools.values()
-            # Both duplicates are written at once, before the loop can read them.
+            # Both duplicates are written without a pause, so that the loop cannot read them before the check.
             for connection in pool.idle:
                 connection.data_received = lambda data: None  # type: ignore[method-assign]
-            peers = [writer.get_extra_info("socket") for writer in writers]
-            for peer in peers:
-                os.write(peer.fileno(), answer(body=b"copy"))
-            assert [one.has_no_unread_data() for one in pool.idle] == [False, False]
+            server_sockets = [writer.get_extra_info("socket") for writer in writers]
+            for server_socket in server_sockets:
+                os.write(server_socket.fileno(), answer(body=b"copy"))
+            assert [connection.has_no_unread_data() for connection in pool.idle] == [False, False]
             assert pool.acquire() is None and not pool.idle
             assert (await client.ask(request(body=b"three"))).body == b"three"
             assert server.connections == 3
@@ -122,11 +124,11 @@
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
 
-        async def note(message: Message, writer: asyncio.StreamWriter) -> None:
+        async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
             await serves(message, writer)
 
-        async with Server("s-1", note) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", respond) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             assert status(await client.ask(request())) == 200
             writers[0].close()
@@ -136,7 +138,7 @@
     run(test())
 
 
-def test_closing_idle_connections_leaves_those_in_use() -> None:
+def test_closing_idle_connections_keeps_those_in_use_open() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             assert await send_at_once(rig, 2) == [200, 200]
@@ -154,14 +156,14 @@
 def test_a_draining_or_removed_server_gets_no_new_request_and_finishes_those_in_flight(state: str) -> None:
     release = asyncio.Event()
 
-    async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer(body=b"late"))
 
     async def test() -> None:
         async with Server("s-1") as server, Server("s-2") as other, Rig(configuration(server)) as rig:
             assert await send_at_once(rig, 3) == [200, 200, 200]
-            server.script = waits
+            server.script = respond_when_released
             client = await rig.client()
             client.writer.write(request("order"))
             await until(lambda: len(server.seen) == 4)
@@ -169,7 +171,7 @@
             rig.node.endpoint_list.on_update(
                 endpoint_update(other, full=True) if state == "absent" else endpoint_update(server, other)
             )
-            await until(lambda: server.open == 1)  # the idle ones are closed
+            await until(lambda: server.open == 1)  # the idle connections are closed
             assert set(await send_at_once(rig, 4)) == {200}
             assert (len(server.seen), len(other.seen)) == (4, 4)
             release.set()
@@ -181,7 +183,7 @@
 
 
 @pytest.mark.parametrize("moved", [False, True])
-def test_a_restarted_or_moved_server_inherits_no_connection(moved: bool) -> None:
+def test_connections_to_a_restarted_or_moved_server_are_not_reused(moved: bool) -> None:
     async def test() -> None:
         async with Server("s-1") as server, Server("s-1") as later, Rig(configuration(server)) as rig:
             client = await rig.client()
@@ -198,7 +200,7 @@
     run(test())
 
 
-def test_a_lack_of_descriptors_is_no_fault_of_a_server_and_closes_idle_connections() -> None:
+def test_at_the_socket_limit_idle_connections_are_closed_and_no_server_is_at_fault() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Server("s-2") as other, Rig(configuration(server)) as rig:
             rig.node._pools._max_sockets = 2
@@ -209,20 +211,26 @@
             clients = [await rig.client() for _ in range(3)]
             for client in clients:
                 client.writer.write(request("order"))
-            await until(lambda: [one for one in rig.spy.outcomes() if one.result is AttemptResult.NOT_SENT])
-            assert not [one for one in rig.spy.outcomes() if one.result is AttemptResult.CONNECT_FAILED]
-            # Closing the idle ones, while they cool down, takes an iteration of the loop.
+            await until(
+                lambda: [
+                    outcome for outcome in rig.spy.outcomes() if outcome.result is AttemptResult.NOT_SENT
+                ]
+            )
+            assert not [
+                outcome for outcome in rig.spy.outcomes() if outcome.result is AttemptResult.CONNECT_FAILED
+            ]
+            # Idle connections within COOL_DOWN_NS are closed, which takes an iteration of the event loop.
             await until(lambda: rig.node._pools.sockets <= 2)
 
     run(test())
 
 
 def test_closed_connections_are_freed_without_the_garbage_collector() -> None:
-    """A connection and its parser refer to each other; without the garbage collector they would stay."""
+    """A connection and its parser refer to each other, so this reference cycle must be broken explicitly."""
 
     async def test() -> None:
-        once = says(answer(Connection="close"))
-        async with Server("s-1", once) as server, Rig(configuration(server)) as rig:
+        respond_and_close = says(answer(Connection="close"))
+        async with Server("s-1", respond_and_close) as server, Rig(configuration(server)) as rig:
             gc.collect()
             gc.disable()
             try:
@@ -232,9 +240,17 @@
                     client.writer.close()
                 await until(lambda: not rig.listener.table.connections and not rig.node._pools.sockets)
                 await asyncio.sleep(0)
-                left = [type(one).__name__ for one in gc.get_objects()]
-                assert left.count("HttpRequestParser") == left.count("HttpResponseParser") == 0
-                assert left.count("ClientConnection") + left.count(ServerConnection.__name__) <= 2
+                remaining_types = [type(item).__name__ for item in gc.get_objects()]
+                assert (
+                    remaining_types.count("HttpRequestParser")
+                    == remaining_types.count("HttpResponseParser")
+                    == 0
+                )
+                assert (
+                    remaining_types.count("ClientConnection")
+                    + remaining_types.count(ServerConnection.__name__)
+                    <= 2
+                )
             finally:
                 gc.enable()
 
@@ -242,15 +258,15 @@
 
 
 def test_failed_connects_and_watches_are_freed_without_the_garbage_collector() -> None:
-    """A connection that is not established must leave no parser either.
+    """A connection that was never established must not leave a parser in memory either.
 
-    The watch that the policy of the rig starts after 0.1 s is one such.
+    The watch that the policy of the rig starts after 0.1 s is such a connection.
     """
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             server.stop()
-            await asyncio.sleep(0.3)  # the policy's own watch has failed by now
+            await asyncio.sleep(0.3)  # by then the watch that the policy started has failed
             gc.collect()
             gc.disable()
             try:
@@ -259,38 +275,38 @@
                 rig.watch()
                 await until(lambda: len(rig.spy.lists(api.EndpointUpdateKind.FAILED)) >= 2)
                 await asyncio.sleep(0.02)
-                left = [type(one).__name__ for one in gc.get_objects()]
-                assert left.count("HttpResponseParser") == 0
+                remaining_types = [type(item).__name__ for item in gc.get_objects()]
+                assert remaining_types.count("HttpResponseParser") == 0
             finally:
                 gc.enable()
 
     run(test())
 
 
-@pytest.mark.parametrize("how", ["retired", "disconnected"])
+@pytest.mark.parametrize("cause", ["retired", "disconnected"])
 def test_a_connection_established_as_its_attempt_ends_is_closed_and_not_counted(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    cause: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The loop closes a connection without notice if connecting is cancelled just as it is established.
+    """The loop does not call `connection_lost` if connecting is cancelled just after `connection_made`.
 
-    It must not count as open after that.
+    The socket count must not include the connection after that.
     """
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            made = ServerConnection.connection_made
+            connection_made = ServerConnection.connection_made
 
-            def ends(connection: ServerConnection, transport: asyncio.BaseTransport) -> None:
-                made(connection, transport)
-                if how == "disconnected":
+            def end_attempt(connection: ServerConnection, transport: asyncio.BaseTransport) -> None:
+                connection_made(connection, transport)
+                if cause == "disconnected":
                     (number,) = rig.node.requests.active
                     rig.node.on_client_disconnected(number)
                 else:
                     server.state = "Gone"
                     rig.node.endpoint_list.on_update(endpoint_update(server))
 
-            monkeypatch.setattr(ServerConnection, "connection_made", ends)
+            monkeypatch.setattr(ServerConnection, "connection_made", end_attempt)
             client.writer.write(request("order"))
             await until(lambda: rig.spy.outcomes())
             await until(lambda: server.connections and not server.open)
@@ -312,34 +328,34 @@
             client = await rig.client()
             assert status(await client.ask(request())) == 200  # opens a connection, idle from now on
             assert os.write(client.writer.get_extra_info("socket").fileno(), request())
-            start_draining(rig, server)  # in the same iteration of the loop
+            start_draining(rig, server)  # in the same iteration of the event loop
             assert status(await client.read()) == 503
             assert len(server.seen) == 1
 
     run(test())
 
 
-@pytest.mark.parametrize("kind", ["page", "order"])
-def test_a_drain_between_two_attempts_is_respected(kind: str) -> None:
+@pytest.mark.parametrize("request_class", ["page", "order"])
+def test_a_drain_between_two_attempts_is_respected(request_class: str) -> None:
     release = asyncio.Event()
 
-    async def rejects(_: Message, writer: asyncio.StreamWriter) -> None:
+    async def reject_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer(503, X_Not_Run="1"))
 
     async def test() -> None:
         async with (
-            Server("s-1", rejects) as one,
-            Server("s-2", rejects) as two,
-            Rig(configuration(one, two)) as rig,
+            Server("s-1", reject_when_released) as first,
+            Server("s-2", reject_when_released) as second,
+            Rig(configuration(first, second)) as rig,
         ):
             client = await rig.client()
-            client.writer.write(request(kind))
-            await until(lambda: one.seen or two.seen)
-            start_draining(rig, one, two)
+            client.writer.write(request(request_class))
+            await until(lambda: first.seen or second.seen)
+            start_draining(rig, first, second)
             release.set()
             assert status(await client.read()) == 503
-            assert len(one.seen) + len(two.seen) == 1
+            assert len(first.seen) + len(second.seen) == 1
 
     run(test())
 
@@ -347,12 +363,12 @@
 def test_a_drain_is_respected_for_a_request_queued_behind_its_key() -> None:
     release = asyncio.Event()
 
-    async def waits(_: Message, writer: asyncio.StreamWriter) -> None:
+    async def respond_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(answer())
 
     async def test() -> None:
-        async with Server("s-1", waits) as server:
+        async with Server("s-1", respond_when_released) as server:
             document = configuration(server)
             document["settings"]["Grades"][1] |= {"Aim": 10**8, "LateShare": 0.5, "OneAtATime": True}
             async with Rig(document) as rig:
@@ -363,13 +379,13 @@
                 await until(lambda: len(rig.node.requests.active) == 2)
                 start_draining(rig, server)
                 release.set()
-                assert [status(await one.read()) for one in (first, second)] == [200, 503]
+                assert [status(await client.read()) for client in (first, second)] == [200, 503]
                 assert len(server.seen) == 1
 
     run(test())
 
 
-def test_a_server_that_returns_at_its_address_gets_new_connections_only() -> None:
+def test_a_removed_server_that_returns_at_its_address_gets_only_new_connections() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
--- a/tests/node/test_consistency_check.py
+++ b/tests/node/test_consistency_check.py
@@ -1,4 +1,4 @@
-"""The check that runs every second: what it reports, and that it reports it once."""
+"""Tests of the consistency check: it reports each violation, and reports it once."""
 
 from __future__ import annotations
 
--- a/tests/node/test_discovery_reconnect.py
+++ b/tests/node/test_discovery_reconnect.py
@@ -1,4 +1,4 @@
-"""Watches that are replaced: timeouts, backoff between watches, and a change of address."""
+"""Tests of replacing a discovery watch: timeouts, backoff between watches, and a change of address."""
 
 from __future__ import annotations
 
@@ -19,18 +19,22 @@
 from moleport.policy.interface import EndpointUpdateKind
 
 
-@pytest.mark.parametrize("moves", [False, True])
-def test_a_reload_during_connect_or_backoff_opens_one_watch_at_the_new_address(moves: bool) -> None:
+@pytest.mark.parametrize("is_old_reachable", [False, True])
+def test_a_reload_during_connect_or_backoff_opens_one_watch_at_the_new_address(
+    is_old_reachable: bool,
+) -> None:
     """The backoff timer must not open a second watch."""
 
     async def test() -> None:
         async with Discovery() as old, Discovery() as new, Server("s-1") as server:
             old.reply = b""  # no response
-            document = configuration(discovery=old.address if moves else "127.0.0.1:1")
+            document = configuration(discovery=old.address if is_old_reachable else "127.0.0.1:1")
             document["settings"]["MembershipMode"] = "pushed"
             async with Rig(document) as rig:
-                # Either the first watch is being opened, or the backoff after its failure runs.
-                await until(lambda: old.targets if moves else rig.node.endpoint_list._backoff.failure_count)
+                # The first watch has no response yet, or has failed and is followed by a backoff.
+                await until(
+                    lambda: old.targets if is_old_reachable else rig.node.endpoint_list._backoff.failure_count
+                )
                 rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
                 await until(lambda: new.targets)
                 new.push(2, server, full=True)
@@ -38,37 +42,40 @@
                 for _ in range(10):  # longer than any backoff
                     await asyncio.sleep(0.03)
                     new.push_bytes(b"\n")
-                assert (len(old.targets), len(new.targets)) == (int(moves), 1)
+                assert (len(old.targets), len(new.targets)) == (int(is_old_reachable), 1)
 
     run(test())
 
 
 def test_a_silent_watch_is_replaced_before_missed_updates_count_as_delivered() -> None:
-    """The watch opened in place of a silent one may be silent too."""
-    counts_as_delivered, after_sighup, grace = 6.0, 4.0, 0.5
-    pause = MAX_DRAIN_GRACE_FRACTION * grace
-    assert pause <= MIN_DELAY_SECONDS * 2**MAX_DOUBLINGS
-    # An empty line is sent every 2 s.
+    """The limits must hold even if the watch that replaces a silent one is silent too."""
+    delivery_limit_s, delivery_limit_after_sighup_s, drain_grace_s = 6.0, 4.0, 0.5
+    max_delay_s = MAX_DRAIN_GRACE_FRACTION * drain_grace_s
+    assert max_delay_s <= MIN_DELAY_SECONDS * 2**MAX_DOUBLINGS
+    # Discovery sends an empty line at least every 2 s.
     assert min(discovery.DATA_TIMEOUT_S, discovery.FIRST_DATA_TIMEOUT_S) > 2.0
-    again = MIN_DELAY_SECONDS + discovery.FIRST_DATA_TIMEOUT_S + 2 * MIN_DELAY_SECONDS
-    assert discovery.DATA_TIMEOUT_S + again < counts_as_delivered
-    assert discovery.FIRST_DATA_TIMEOUT_S + pause + discovery.AGENT_RESPONSE_TIMEOUT_S < after_sighup
-    assert pause < grace  # an agent that is back sends its updates at once
+    next_watch_s = MIN_DELAY_SECONDS + discovery.FIRST_DATA_TIMEOUT_S + 2 * MIN_DELAY_SECONDS
+    assert discovery.DATA_TIMEOUT_S + next_watch_s < delivery_limit_s
+    assert (
+        discovery.FIRST_DATA_TIMEOUT_S + max_delay_s + discovery.AGENT_RESPONSE_TIMEOUT_S
+        < delivery_limit_after_sighup_s
+    )
+    assert max_delay_s < drain_grace_s  # an agent that is reachable again sends its updates at once
 
 
-def test_a_polled_discovery_has_longer_to_respond(
+def test_a_polled_discovery_has_a_longer_response_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Calls are queued at a discovery that all nodes share, unlike at an agent on the same machine."""
+    """A discovery service that all nodes share queues their requests, unlike an agent on the same machine."""
     monkeypatch.setattr(discovery, "AGENT_RESPONSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with Discovery() as source, Rig(configuration(discovery=source.address)) as rig:
-            whole, source.reply = source.reply, b""
+            normal_reply, source.reply = source.reply, b""
             rig.watch()
             await until(lambda: source.targets)
             await asyncio.sleep(0.3)
-            source.push_raw(whole)
+            source.push_raw(normal_reply)
             source.push(9, full=True)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
             assert not rig.spy.lists(EndpointUpdateKind.FAILED) and len(source.targets) == 1
@@ -76,47 +83,47 @@
     run(test())
 
 
-FAILURES = ("refused", "503", "silent", "headers", "bad")  # of a call to discovery
+FAILURES = ("refused", "503", "silent", "headers", "malformed")  # of a request to discovery
 
 
 async def seconds_until_applied(mode: str, failure: str) -> float:
-    """Return the time from when a failed discovery is reachable and has an update to its application."""
-    async with Discovery() as source, Server("s-1") as one, Server("s-2") as two:
-        whole = source.reply
-        document = configuration(one, two, discovery=source.address)
+    """Return the time from the end of a discovery failure until the update sent after it is applied."""
+    async with Discovery() as source, Server("s-1") as first, Server("s-2") as second:
+        normal_reply = source.reply
+        document = configuration(first, second, discovery=source.address)
         document["settings"]["MembershipMode"] = mode
         if failure == "refused":
             await source.refuse()
         elif failure != "headers":
-            busy = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-            source.reply = {"503": busy, "silent": b"", "bad": b"?\r\n"}[failure]
+            unavailable = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+            source.reply = {"503": unavailable, "silent": b"", "malformed": b"?\r\n"}[failure]
         async with Rig(document) as rig:
             await until(lambda: source.targets or failure == "refused")
-            await asyncio.sleep(2.2)  # the backoff has grown, and a further call gets no response
-            two.state = "Terminating"
-            change = json.dumps({"version": 9, "full": False, "servers": [two.entry()]}).encode()
-            source.reply = whole + b"%x\r\n%s\r\n" % (len(change), change)
+            await asyncio.sleep(2.2)  # the backoff has grown, and a further request has failed
+            second.state = "Terminating"
+            update = json.dumps({"version": 9, "full": False, "servers": [second.entry()]}).encode()
+            source.reply = normal_reply + b"%x\r\n%s\r\n" % (len(update), update)
             if failure == "refused":
                 await source.listen()
-            begun = asyncio.get_running_loop().time()
+            reachable_at = asyncio.get_running_loop().time()
             await until(lambda: rig.node._ready_endpoint_ids == {hash_name("s-1")})
-            return asyncio.get_running_loop().time() - begun
+            return asyncio.get_running_loop().time() - reachable_at
 
 
 def test_an_update_is_applied_within_6_s_after_any_failure() -> None:
-    """The backoff after failures must leave time for a further call that gets no response."""
+    """The backoff after failures must leave time for one more request without a response."""
 
     async def test() -> None:
         cases = [(mode, failure) for mode in ("pushed", "on_request") for failure in FAILURES]
         async with asyncio.timeout(PATIENCE):
-            waits = await asyncio.gather(*(seconds_until_applied(*case) for case in cases))
-        assert {case: wait for case, wait in zip(cases, waits, strict=True) if wait >= 6.0} == {}
+            delays_s = await asyncio.gather(*(seconds_until_applied(*case) for case in cases))
+        assert {case: delay_s for case, delay_s in zip(cases, delays_s, strict=True) if delay_s >= 6.0} == {}
 
     run(test())
 
 
 def test_the_policy_assumes_the_timeouts_of_the_watch() -> None:
-    """The policy bounds its polling delays by the longest call and the longest silence."""
+    """The policy derives its polling delays from the longest request and the longest silence of a watch."""
     longest_call_s = max(discovery.SHARED_RESPONSE_TIMEOUT_S, discovery.FIRST_DATA_TIMEOUT_S)
     assert longest_call_s * 1e9 <= discovery_polling.POLL_TIMEOUT_NS
     assert discovery.DATA_TIMEOUT_S * 1e9 <= discovery_polling.WATCH_SILENCE_NS
@@ -130,32 +137,32 @@
 
 
 def test_reconnect_delays_grow_and_differ_between_nodes() -> None:
-    """Nodes that lose their watches in the same moment do not reconnect together."""
+    """Nodes whose watches end at the same moment must not reconnect at the same moment."""
 
-    async def pauses(seed: str) -> list[float]:
+    async def drawn_delays(seed: str) -> list[float]:
         document = configuration() | {"seed": seed}
         async with Discovery() as source, Rig(document | {"discovery": source.address}) as rig:
-            longest = MAX_DRAIN_GRACE_FRACTION * rig.config.drain_grace_ns / 1e9
-            found = [rig.node.endpoint_list._backoff.next_delay_seconds() for _ in range(2000)]
-            assert longest * 0.9 < max(found) <= longest
+            max_delay_s = MAX_DRAIN_GRACE_FRACTION * rig.config.drain_grace_ns / 1e9
+            delays = [rig.node.endpoint_list._backoff.next_delay_seconds() for _ in range(2000)]
+            assert max_delay_s * 0.9 < max(delays) <= max_delay_s
             rig.watch()
             await until(lambda: source.targets)
             source.push(9, full=True)
             await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
             assert rig.node.endpoint_list._backoff.next_delay_seconds() <= MIN_DELAY_SECONDS
-            return found
+            return delays
 
     async def test() -> None:
-        one, other = await pauses("1"), await pauses("2")
-        for found in (one, other):
-            assert MIN_DELAY_SECONDS / 2 <= found[0] < found[2] < found[4]
-        assert not set(one) & set(other)
+        first_node, second_node = await drawn_delays("1"), await drawn_delays("2")
+        for delays in (first_node, second_node):
+            assert MIN_DELAY_SECONDS / 2 <= delays[0] < delays[2] < delays[4]
+        assert not set(first_node) & set(second_node)
 
     run(test())
 
 
 def test_a_moved_watch_is_reported_only_if_the_new_one_fails() -> None:
-    """The old watch is closed on purpose."""
+    """The old watch is closed intentionally, which is not a failure."""
 
     async def test() -> None:
         async with (
@@ -168,9 +175,9 @@
             await until(lambda: old.targets)
             rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
             await until(lambda: new.targets)
-            rig.watch()  # opens no second one
+            rig.watch()  # must not open a second watch
             old.drop()
-            new.push(2, server, full=True)  # its versions are counted apart
+            new.push(2, server, full=True)  # each address has its own version numbers
             await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
             assert not rig.spy.lists(EndpointUpdateKind.FAILED)
             rig.node.reload(replace(rig.config, discovery_address=parse_address("127.0.0.1:1")))
@@ -182,12 +189,13 @@
 
 
 def test_the_policy_requests_the_watch_by_its_timer() -> None:
-    """In poll mode the node opens no watch by itself."""
+    """In poll mode the node opens a watch only if the policy requests it."""
 
     async def test() -> None:
         async with (
             Discovery() as source,
-            Rig(configuration(discovery=source.address)) as rig,  # no server known: the policy polls soon
+            # No server is known, so the policy polls soon.
+            Rig(configuration(discovery=source.address)) as rig,
         ):
             await until(lambda: source.targets)
             assert any(isinstance(event, api.TimerFired) for event in rig.spy.events)
@@ -196,7 +204,7 @@
 
 
 def test_in_push_mode_the_node_keeps_a_watch_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The policy is not notified of its end."""
+    """The policy is not notified of the end of a watch."""
     monkeypatch.setattr("moleport.node.reconnect_backoff.MIN_DELAY_SECONDS", 0.01)
 
     async def test() -> None:
@@ -212,20 +220,20 @@
     run(test())
 
 
-def test_the_end_of_a_replaced_watch_leaves_the_update_of_the_current_one_in_slices() -> None:
-    """To parse thousands of entries in one go would hold up the requests."""
+def test_the_end_of_a_replaced_watch_does_not_parse_the_update_of_the_current_one_at_once() -> None:
+    """Parsing thousands of entries in one loop iteration would delay requests."""
     reported: list[DiscoveryUpdate] = []
 
     async def test() -> None:
         client = discovery.DiscoveryClient(("127.0.0.1", 1), 0, reported.append, lambda: None)
         replaced = discovery.WatchConnection(client)
         current = client._watch = discovery.WatchConnection(client)
-        found = entries(range(3 * discovery.SLICE_ENTRY_COUNT))
-        client.on_json_object(current, update_text(2, found))
+        listed = entries(range(3 * discovery.SLICE_ENTRY_COUNT))
+        client.on_json_object(current, update_text(2, listed))
         replaced.connection_lost(None)
         assert not reported
         await until(lambda: reported)
-        assert len(reported[0].endpoints) == len(found)
+        assert len(reported[0].endpoints) == len(listed)
         client.close()
 
     run(test())
--- a/tests/node/test_invariants.py
+++ b/tests/node/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each invariant of a request written to a server, violated alone and at its bound."""
+"""Tests of the invariants of a write: each is violated alone, and none is violated at its limit."""
 
 from __future__ import annotations
 
@@ -69,11 +69,11 @@
         {"timeout_ns": 10**9 + DEADLINE_TOLERANCE_NS},
     ],
 )
-def test_a_write_at_a_bound_violates_nothing(change: dict[str, Any]) -> None:
+def test_a_write_at_a_limit_violates_no_invariant(change: dict[str, Any]) -> None:
     assert not list(violated_invariants(VALID._replace(**change)))
 
 
-def test_the_names_of_invariants_in_logs_and_counters_stay() -> None:
+def test_the_names_of_invariants_in_logs_and_counters_are_unchanged() -> None:
     assert [str(invariant) for invariant in Invariant] == [
         "not_answered",
         "attempt_limit",
--- a/tests/node/test_json_stream.py
+++ b/tests/node/test_json_stream.py
@@ -1,4 +1,4 @@
-"""The stream of a watch is split into JSON objects."""
+"""Tests of splitting the stream of a discovery watch into JSON objects."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
 
 @settings(deadline=None)
 @given(st.lists(OBJECTS, max_size=4), st.integers(1, 40), st.sampled_from([None, 1]))
-def test_objects_are_found_however_the_stream_is_cut(found: list[Any], size: int, indent: int | None) -> None:
-    """Names hold braces, quotes and backslashes."""
+def test_objects_are_found_wherever_the_stream_is_split(
+    objects: list[Any], piece_bytes: int, indent: int | None
+) -> None:
+    """The keys and values contain braces, quotes and backslashes."""
 
     class Owner:
         response_timeout_s = 60.0
@@ -34,10 +36,10 @@
         owner = Owner()
         owner.seen = []
         watch = discovery.WatchConnection(owner)  # type: ignore[arg-type]
-        data = b"\n".join(json.dumps(one, indent=indent, ensure_ascii=False).encode() for one in found)
-        for begin in range(0, len(data), size):
-            watch.on_body(data[begin : begin + size])
+        data = b"\n".join(json.dumps(item, indent=indent, ensure_ascii=False).encode() for item in objects)
+        for begin in range(0, len(data), piece_bytes):
+            watch.on_body(data[begin : begin + piece_bytes])
         watch.close()
-        assert owner.seen == found
+        assert owner.seen == objects
 
     run(test())
--- a/tests/node/test_large_lists.py
+++ b/tests/node/test_large_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists of thousands of servers: parsed and applied in slices, the last state counts."""
+"""Tests of endpoint lists of thousands of servers, which are parsed and applied in slices."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_a_long_list_is_applied_in_slices_and_requests_are_served_between() -> None:
-    """One iteration of the loop applies no more than a slice."""
+    """One iteration of the event loop applies at most one slice."""
 
     async def test() -> None:
         async with (
@@ -45,23 +45,27 @@
         ):
             rig.watch()
             await until(lambda: source.targets)
-            asking = [asyncio.create_task(send_requests(await rig.client())) for _ in range(4)]
+            request_tasks = [asyncio.create_task(send_requests(await rig.client())) for _ in range(4)]
             await until(lambda: len(server.seen) > 20)
             source.push_bytes(update_text(9, entries(range(MANY), server.address)))
             await until(lambda: len(rig.node._ready_endpoint_ids) == MANY)
             events = rig.spy.events
-            slices = [at for at, event in enumerate(events) if isinstance(event, api.EndpointUpdate)][1:]
-            sizes = [len(events[at].endpoints) for at in slices]  # type: ignore[union-attr]
-            # Entries that are known already are left out.
-            assert sum(sizes) == MANY - 100 and max(sizes) <= SLICE_ENDPOINT_COUNT
-            between = [
-                event for event in events[slices[0] : slices[-1]] if isinstance(event, api.AttemptOutcome)
+            update_indices = [
+                index for index, event in enumerate(events) if isinstance(event, api.EndpointUpdate)
+            ][1:]
+            slice_sizes = [len(events[index].endpoints) for index in update_indices]  # type: ignore[union-attr]
+            # The update contains entries that are known already; these are not applied again.
+            assert sum(slice_sizes) == MANY - 100 and max(slice_sizes) <= SLICE_ENDPOINT_COUNT
+            outcomes = [
+                event
+                for event in events[update_indices[0] : update_indices[-1]]
+                if isinstance(event, api.AttemptOutcome)
             ]
-            assert len(between) >= 3
-            assert all(outcome.result is api.AttemptResult.OK for outcome in between)
-            for one in asking:
-                assert not one.done()
-                one.cancel()
+            assert len(outcomes) >= 3
+            assert all(outcome.result is api.AttemptResult.OK for outcome in outcomes)
+            for task in request_tasks:
+                assert not task.done()
+                task.cancel()
             assert ready_in_policy(rig) == rig.node._ready_endpoint_ids == ids(range(MANY))
 
     run(test())
@@ -70,40 +74,40 @@
 def test_a_long_list_is_parsed_in_slices_each_in_its_own_loop_iteration(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Parsing must not stall the loop either."""
-    read: list[tuple[int, int]] = []  # loop iteration, entries
-    turns = 0
-    parse_hosts = discovery.parse_endpoints
+    """Parsing must not block the event loop for long either."""
+    parsed_slices: list[tuple[int, int]] = []  # loop iteration, entries
+    iteration = 0
+    parse_endpoints = discovery.parse_endpoints
 
-    def recording(found: list[object]) -> list[DiscoveredEndpoint]:
-        read.append((turns, len(found)))
-        return parse_hosts(found)
+    def record_slice(parsed_entries: list[object]) -> list[DiscoveredEndpoint]:
+        parsed_slices.append((iteration, len(parsed_entries)))
+        return parse_endpoints(parsed_entries)
 
-    monkeypatch.setattr(discovery, "parse_endpoints", recording)
+    monkeypatch.setattr(discovery, "parse_endpoints", record_slice)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
 
-        def turn() -> None:
-            nonlocal turns
-            turns += 1
-            loop.call_soon(turn)
+        def count_iteration() -> None:
+            nonlocal iteration
+            iteration += 1
+            loop.call_soon(count_iteration)
 
         async with Discovery() as source, Rig(configuration_with([], source)) as rig:
             rig.watch()
             await until(lambda: source.targets)
-            turn()
+            count_iteration()
             source.push_bytes(update_text(9, entries(range(MANY))))
             await until(lambda: len(rig.node._ready_endpoint_ids) == MANY)
 
     run(test())
-    assert sum(count for _, count in read) == MANY
-    assert max(count for _, count in read) <= discovery.SLICE_ENTRY_COUNT
-    assert len({turn for turn, _ in read}) == len(read)
+    assert sum(count for _, count in parsed_slices) == MANY
+    assert max(count for _, count in parsed_slices) <= discovery.SLICE_ENTRY_COUNT
+    assert len({number for number, _ in parsed_slices}) == len(parsed_slices)
 
 
 def test_a_list_that_is_emptied_and_filled_again_serves_requests() -> None:
-    """Twice, with long lists."""
+    """Each round fills the list with thousands of servers and empties it again."""
 
     async def test() -> None:
         async with (
@@ -126,7 +130,7 @@
     run(test())
 
 
-BAD = [
+INVALID_FIELDS = [
     {"addr": "host:80"},
     {"state": "Asleep"},
     {"addr": None},
@@ -136,12 +140,12 @@
 ]
 
 
-@pytest.mark.parametrize("bad", BAD)
-@pytest.mark.parametrize("at", [0, MANY - 1])
+@pytest.mark.parametrize("invalid_field", INVALID_FIELDS)
+@pytest.mark.parametrize("index", [0, MANY - 1])
 def test_an_invalid_entry_rejects_the_update_and_is_named_in_the_log(
-    bad: dict[str, Any], at: int, caplog: pytest.LogCaptureFixture
+    invalid_field: dict[str, Any], index: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The known list stays, and the next watch asks for a snapshot."""
+    """The known list does not change, and the next watch requests a snapshot."""
     caplog.set_level(logging.WARNING)
 
     async def test() -> None:
@@ -152,48 +156,48 @@
         ):
             rig.watch()
             await until(lambda: source.targets)
-            found = entries(range(100, 100 + MANY), server.address)
-            found[at] |= bad
-            source.push_bytes(update_text(9, found))
+            listed = entries(range(100, 100 + MANY), server.address)
+            listed[index] |= invalid_field
+            source.push_bytes(update_text(9, listed))
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
-            assert f"s-{100 + at}" in caplog.text and len(caplog.text) < 500
+            assert f"s-{100 + index}" in caplog.text and len(caplog.text) < 500
             assert ready_in_policy(rig) == rig.node._ready_endpoint_ids == ids(range(10))
             assert status(await (await rig.client()).ask(request())) == 200
             rig.watch()
             await until(lambda: len(source.targets) == 2)
-            assert "from=0 " in source.targets[1]  # the content of the rejected update is unknown
+            assert "from=0 " in source.targets[1]  # the changes in the rejected update are unknown
             source.push_bytes(update_text(9, entries(range(MANY), server.address)))
             await until(lambda: rig.node._ready_endpoint_ids == ids(range(MANY)))
 
     run(test())
 
 
-@pytest.mark.parametrize("end", ["close", "chunk"])
-def test_a_long_list_is_applied_though_its_watch_ends_right_after(end: str) -> None:
-    """Otherwise it would be sent again on the next watch, with delay."""
+@pytest.mark.parametrize("end_of_watch", ["close", "chunk"])
+def test_a_long_list_is_applied_even_if_its_watch_ends_right_after_it(end_of_watch: str) -> None:
+    """Otherwise discovery would send it again on the next watch, which would delay it."""
 
     async def test() -> None:
         async with Discovery() as source, Rig(configuration_with([], source)) as rig:
             rig.watch()
             await until(lambda: source.targets)
             source.push_bytes(update_text(9, entries(range(MANY))))
-            if end == "close":
+            if end_of_watch == "close":
                 source._writers[-1].close()
             else:
                 source.push_raw(b"0\r\n\r\n")
             await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
             await wait_until_applied(rig)
             assert len(rig.node._ready_endpoint_ids) == MANY
-            # The failure comes last: an update after it would mean that a watch is open.
+            # The failure must be the last event: an update after it would mean that a watch is open.
             assert endpoint_updates(rig)[-1].kind is EndpointUpdateKind.FAILED
-            await until(lambda: len(source.targets) == 2)  # the policy opens a new one by its timer
+            await until(lambda: len(source.targets) == 2)  # the policy opens a new watch by its timer
             assert "from=9 " in source.targets[1]
 
     run(test())
 
 
 def test_deltas_right_after_a_long_list_are_applied_after_it() -> None:
-    """They arrive in the same read."""
+    """The deltas arrive in the same read as the list."""
 
     async def test() -> None:
         async with Discovery() as source, Rig(configuration_with([], source)) as rig:
@@ -210,17 +214,17 @@
     run(test())
 
 
-def test_a_reload_while_a_long_list_is_parsed_or_applied_loses_nothing() -> None:
-    """The rest of the list is applied, and the new address sends a snapshot."""
+def test_a_reload_while_a_long_list_is_parsed_or_applied_loses_no_update() -> None:
+    """The rest of the list is applied, and the watch at the new address requests a snapshot."""
 
     async def test() -> None:
         async with Discovery() as old, Discovery() as new, Rig(configuration_with([], old)) as rig:
             rig.watch()
             await until(lambda: old.targets)
-            watching = rig.node.endpoint_list.discovery
-            assert watching._watch is not None
-            watching.on_json_object(watching._watch, update_text(9, entries(range(MANY))))
-            assert not rig.node._ready_endpoint_ids  # most of it is not parsed
+            discovery_client = rig.node.endpoint_list.discovery
+            assert discovery_client._watch is not None
+            discovery_client.on_json_object(discovery_client._watch, update_text(9, entries(range(MANY))))
+            assert not rig.node._ready_endpoint_ids  # most entries are not parsed yet
             rig.node.reload(replace(rig.config, discovery_address=parse_address(new.address)))
             await until(lambda: new.targets)
             assert "from=0 " in new.targets[0]
@@ -234,7 +238,7 @@
 
 
 def test_a_new_process_waits_until_a_long_list_is_applied() -> None:
-    """The first update is complete before the node listens."""
+    """The first update is applied completely before the node listens."""
 
     async def test() -> None:
         async with Discovery() as source:
@@ -250,7 +254,7 @@
 
 
 def test_only_pools_with_idle_connections_are_searched_for_them() -> None:
-    """The cost of a search does not grow with the number of servers."""
+    """The cost of a search must not grow with the number of servers."""
 
     async def test() -> None:
         async with Server("s-0") as server:
@@ -259,14 +263,14 @@
             async with Rig(document) as rig:
                 pools = rig.node._pools
                 clients = [await rig.client() for _ in range(5)]
-                for _ in range(3):  # also after a while without idle connections
+                for _ in range(3):  # the pools are without idle connections between two rounds
                     for client in clients:
                         assert status(await client.ask(request())) == 200
                     idle = {pool for pool in pools._pools.values() if pool.idle}
                     assert idle and idle <= set(pools.pools_with_idle_connections)
                     assert len(pools.pools_with_idle_connections) <= 15
                     open_before, pools._max_sockets = pools.sockets, pools.sockets
-                    assert pools.ensure_capacity()  # closes the one that is idle longest
+                    assert pools.ensure_capacity()  # closes the connection that has been idle longest
                     await until(lambda before=open_before: pools.sockets < before)  # type: ignore[misc]
                     pools._max_sockets = 400
                     await until(lambda: not pools.sockets and not pools.pools_with_idle_connections)
@@ -275,7 +279,7 @@
 
 
 def test_each_scale_figure_of_lists_has_a_unit_and_a_reason() -> None:
-    """A smoke run gives rows for two sizes, each complete."""
+    """A smoke run returns complete rows for two sizes."""
     rows = measure(smoke=True)
     assert {row["size"] for row in rows} == {60, 200}
     assert len({(row["name"], row["size"]) for row in rows}) == len(rows)
--- a/tests/node/test_response_parser.py
+++ b/tests/node/test_response_parser.py
@@ -1,4 +1,4 @@
-"""Responses of servers as a parser without a socket reads them: framing, limits and typed errors."""
+"""Tests of the response parser without a socket: framing, limits and typed errors."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     return parser
 
 
-@pytest.mark.parametrize("size", [1, 7, 10**6])
-def test_a_response_is_complete_with_its_last_byte(size: int) -> None:
+@pytest.mark.parametrize("piece_bytes", [1, 7, 10**6])
+def test_a_response_is_complete_with_its_last_byte(piece_bytes: int) -> None:
     data = INTERIM + RESPONSE
-    pieces = [data[start : start + size] for start in range(0, len(data), size)]
+    pieces = [data[start : start + piece_bytes] for start in range(0, len(data), piece_bytes)]
     assert not parse(*pieces[:-1]).is_complete
     parser = parse(*pieces)
     assert parser.is_complete and parser.is_reusable
@@ -55,7 +55,7 @@
         ),
         (b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (MAX_BODY_BYTES + 1), f"exceeds {MAX_BODY_BYTES}"),
         (b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * MAX_HEAD_BYTES, f"exceeds {MAX_HEAD_BYTES}"),
-        # The same, with the whole head in one piece.
+        # The same head, complete and in one piece.
         (b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * MAX_HEAD_BYTES + b"\r\n\r\n", f"exceeds {MAX_HEAD_BYTES}"),
         (b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 12_000 + b"\r\n", f"exceeds {MAX_HEAD_BYTES}"),
         (b"HTTP/1.1 200 " + b"O" * (MAX_HEAD_BYTES + 1) + b"\r\n\r\n", f"exceeds {MAX_HEAD_BYTES}"),
@@ -63,7 +63,7 @@
         (INTERIM * (MAX_INTERIM_COUNT + 1), f"more than {MAX_INTERIM_COUNT} interim responses"),
     ],
 )
-def test_an_invalid_response_raises_an_error_that_names_the_cause(data: bytes, message: str) -> None:
+def test_an_invalid_response_raises_an_error_that_states_the_cause(data: bytes, message: str) -> None:
     with pytest.raises(InvalidResponseError, match=message):
         parse(data)
 
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("trailing", [RESPONSE, b"\x00noise"])
-def test_data_behind_a_complete_response_makes_the_connection_unusable(trailing: bytes) -> None:
+def test_data_after_a_complete_response_makes_the_connection_unusable(trailing: bytes) -> None:
     parser = parse(RESPONSE + trailing)
     assert parser.is_complete and not parser.is_reusable
     assert parser.response().body == b"frame"
@@ -84,7 +84,7 @@
     [
         (b"HTTP/1.1 200 OK\r\n\r\nframe", True),
         (b"HTTP/1.1 500 X\r\n\r\n", True),
-        (b"HTTP/1.1 200 OK\r\n\r\n", False),  # cut off after the head
+        (b"HTTP/1.1 200 OK\r\n\r\n", False),  # truncated after the head
         (b"HTTP/1.1 200 OK\r\n", False),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nframe", False),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nframe\r\n", False),
@@ -96,15 +96,15 @@
     assert parse(data).may_end_with_connection() is expected
 
 
-def test_a_head_of_the_longest_size_is_accepted() -> None:
+def test_a_head_just_below_the_size_limit_is_accepted() -> None:
     pad = b"X-Pad: " + b"p" * (MAX_HEAD_BYTES - 100)
     parser = parse(b"HTTP/1.1 200 OK\r\n" + pad + b"\r\nContent-Length: 0\r\n\r\n")
     assert parser.is_complete
     assert parser.response().headers == [(b"X-Pad", b"p" * (MAX_HEAD_BYTES - 100))]
 
 
-def test_a_trailer_says_nothing_of_the_response() -> None:
-    """A server states in the head that it did not execute a request."""
+def test_trailers_are_ignored() -> None:
+    """A server must state in the head, not in a trailer, that it did not execute a request."""
     parser = parse(CHUNKED + b"0\r\nX-Not-Run: 1\r\nX-Load: load=1\r\nETag: a\r\n\r\n")
     assert parser.is_complete
     assert not parser.is_not_executed
