--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -194,6 +194,7 @@
             self._owner.on_attempt_ended(self, result, response)
 
     def _release_connections(self) -> None:
+        """Cancel connecting, return an unused connection to the pool, and release the one in use."""
         if self._connect_task is not None:
             self._connect_task.cancel()
         new_connection, self._new_connection = self._new_connection, None
--- a/moleport/node/attempt_supervisor.py
+++ b/moleport/node/attempt_supervisor.py
@@ -81,6 +81,7 @@
     def _report_not_sent(
         self, request_number: int, is_answered: bool, endpoint_id: EndpointId, index: int
     ) -> None:
+        """Report to the policy that an attempt was not started."""
         self._dispatch_event(
             api.AttemptOutcome(
                 request_number, is_answered, AttemptResult.NOT_SENT, 0, endpoint_id, index, load_report=()
@@ -199,6 +200,7 @@
     def _forward_response(
         self, request: PendingRequest, result: AttemptResult, response: ServerResponse
     ) -> None:
+        """Forward a final response to the client: a 200, or only the status of a CLIENT_ERROR."""
         if result is AttemptResult.OK:
             self._requests.send_final_response(request.request_number, 200, response.headers, response.body)
         elif result is AttemptResult.CLIENT_ERROR:
--- a/moleport/node/consistency_check.py
+++ b/moleport/node/consistency_check.py
@@ -46,6 +46,7 @@
         asyncio.get_running_loop().call_later(CHECK_PERIOD_SECONDS, self._on_timer)
 
     def _on_timer(self) -> None:
+        """Schedule the next check, and check unless a hold has just ended."""
         self.start()
         if not self._hold_detector.is_settling():  # timers that were due in a hold may not have run yet
             self.check()
@@ -56,6 +57,7 @@
         self._check_attempt_counts()
 
     def _check_overdue(self, latest_deadline_ns: int) -> None:
+        """Report requests and attempts with a deadline before `latest_deadline_ns`, in monotonic ns."""
         overdue: set[tuple[int, int | None]] = set()
         for request in self._active_requests.values():
             if request.client_request.deadline_ns < latest_deadline_ns:
@@ -68,6 +70,7 @@
         self._reported_overdue = overdue
 
     def _check_attempt_counts(self) -> None:
+        """Report a new difference between the attempts that the policy and the node count as in flight."""
         node_count = sum(len(request.attempts) for request in self._active_requests.values())
         policy_count = self._policy_attempt_count()
         excess_count = policy_count - node_count
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -29,7 +29,7 @@
 # Discovery sends an empty line at once, and then at least every 2 s. White space between two JSON objects,
 # such as an empty line, counts as data.
 FIRST_DATA_TIMEOUT_S = 2.5  # from the opening of a watch to the first data
-DATA_TIMEOUT_S = 3.0  # between data and further data
+DATA_TIMEOUT_S = 3.0  # from received data to the next data
 MAX_UPDATE_BYTES = 4 << 20  # a longer update ends the watch
 SLICE_ENTRY_COUNT = 512  # entries of an update that are parsed in one loop iteration, in about 1 ms
 
@@ -59,7 +59,7 @@
         """Prepare for a watch of `address` (host, port); `watch` opens it on the running event loop.
 
         The first watch requests the updates after `version`. `on_update` is called with each valid update,
-        `on_failed` at the end of each watch that was not closed by this client.
+        `on_failed` once for each watch that ends in another way than by `close` or `move`.
         """
         self.response_timeout_s = response_timeout_s
         self._address = address
@@ -110,6 +110,7 @@
         return f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
 
     async def _open(self, watch: WatchConnection) -> None:
+        """Connect a watch to discovery; the watch ends if connecting fails."""
         try:
             await self._loop.create_connection(lambda: watch, *self._address)
         except OSError as error:
@@ -157,6 +158,7 @@
             self._parse_slice()
 
     def _parse_slice(self) -> None:
+        """Parse the next entries of the current update, and report the update if they are the last."""
         update = self._partial_update
         assert update is not None
         begin = len(update.endpoints)
@@ -171,10 +173,10 @@
             self._on_update(DiscoveryUpdate(update.version, update.is_snapshot, tuple(update.endpoints)))
 
     def _reject_update(self, watch: WatchConnection, error: Exception) -> None:
+        """Discard an invalid update, and end its watch."""
         self._partial_update = None
-        self._version = (
-            0  # the changes in the rejected update are unknown, so the next watch requests a snapshot
-        )
+        # The changes in the rejected update are unknown, so the next watch requests a snapshot.
+        self._version = 0
         self.on_watch_ended(watch, f"invalid update: {error}")
 
     def on_watch_ended(self, watch: WatchConnection, reason: str) -> None:
@@ -193,7 +195,7 @@
         """Start the timeout for the headers of the response."""
         self._owner = owner
         self._transport: asyncio.Transport | None = None
-        self._parser: httptools.HttpResponseParser | None = None  # while the connection is open
+        self._parser: httptools.HttpResponseParser | None = None  # None unless the connection is open
         self._splitter = JsonObjectSplitter()
         self._loop = asyncio.get_running_loop()
         self._opened_at = self._loop.time()
@@ -211,6 +213,7 @@
             self._transport.abort()
 
     def _end_watch(self, reason: str) -> None:
+        """Finish the current update, report the end of the watch, and close the connection."""
         if self._owner.is_current(self):
             try:
                 self._owner.finish_parsing()
@@ -265,7 +268,7 @@
         if status == 200:
             self._set_data_deadline(self._opened_at + FIRST_DATA_TIMEOUT_S)
         elif status >= 200:
-            self._end_watch(f"response status {status} in place of 200")
+            self._end_watch(f"response status {status}, expected 200")
 
     def on_body(self, data: bytes) -> None:
         """Pass the JSON objects that the data completes to the owner, and extend the deadline for data."""
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -48,8 +48,8 @@
         self._telemetry = telemetry
         self._dispatch_event = dispatch_event
         self._loop = asyncio.get_running_loop()
-        self._known: dict[str, DiscoveredEndpoint] = {}  # by id; known to the policy, not removed
-        self._pending: dict[str, DiscoveredEndpoint] = {}  # by id; in a long update, not applied yet
+        self._known: dict[str, DiscoveredEndpoint] = {}  # by id; those that the policy knows
+        self._pending: dict[str, DiscoveredEndpoint] = {}  # by id; those not applied yet
         self._next_slice: asyncio.Handle | None = None
         self._resync_timer: asyncio.TimerHandle | None = None
         self._start_times = ServerStartTimes()
@@ -96,6 +96,7 @@
             self._is_synced.set()
 
     def _on_watch_failed(self) -> None:
+        """In push mode open another watch after a backoff; in poll mode report the failure to the policy."""
         self._is_synced.set()
         self._telemetry.count(Event.WATCH_FAILED)
         if self._is_push_mode:
@@ -111,11 +112,12 @@
     # Methods that apply updates.
 
     def resync_later(self) -> None:
-        """Send the complete list to the policy after `RESYNC_DELAY_S`, because it failed on an update."""
+        """Schedule a resync after `RESYNC_DELAY_S`, because the policy has failed on an update."""
         if self._resync_timer is None:
             self._resync_timer = self._loop.call_later(RESYNC_DELAY_S, self._resync_policy)
 
     def _resync_policy(self) -> None:
+        """Send the complete known list to the policy."""
         self._resync_timer = None
         endpoints = tuple(self._to_policy_endpoint(endpoint) for endpoint in self._known.values())
         # The list is not sent as a snapshot, which states that discovery has just sent an update.
@@ -132,8 +134,8 @@
             self._pending.clear()
             absent = self._removed_except(latest)
         elif self._pending:
-            for name in latest:
-                self._pending.pop(name, None)
+            for entry_id in latest:
+                self._pending.pop(entry_id, None)
         # The cached list needs no slices, because it is applied before requests are accepted.
         if len(latest) <= SLICE_ENDPOINT_COUNT or kind is EndpointUpdateKind.CACHED:
             self._apply_entries(kind, list(latest.values()), absent)
@@ -168,9 +170,12 @@
             self._next_slice = self._loop.call_soon(self._apply_next_slice)
 
     def _apply_next_slice(self) -> None:
-        names = list(islice(self._pending, SLICE_ENDPOINT_COUNT))
-        if names:  # empty if a later update has replaced all pending entries
-            self._apply_entries(EndpointUpdateKind.DELTA, [self._pending.pop(name) for name in names])
+        """Apply a slice of the pending entries, and schedule the next one in another loop iteration."""
+        entry_ids = list(islice(self._pending, SLICE_ENDPOINT_COUNT))
+        if entry_ids:  # empty if a later update has replaced all pending entries
+            self._apply_entries(
+                EndpointUpdateKind.DELTA, [self._pending.pop(entry_id) for entry_id in entry_ids]
+            )
         if self._pending:
             self._next_slice = self._loop.call_soon(self._apply_next_slice)
         else:
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -1,7 +1,7 @@
 """Detects holds: periods in which the event loop did not run.
 
-A hold occurs if the process is stopped, loses its CPU core or pauses for long itself. After a hold the event
-loop runs timers and reads sockets in no defined order. Data that it reads may have been in the kernel
+A hold occurs if the process is stopped, loses its CPU core or pauses for a long time itself. After a hold the
+event loop runs timers and reads sockets in no defined order. Data that it reads may have been in the kernel
 since the start of the hold, and data that a timer finds missing may be unread in the kernel.
 
 The delay of a heartbeat beyond its period is compared with two thresholds. A delay of more than
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -43,10 +43,10 @@
     max_attempts: int
     other_attempt_count: int  # other attempts of the same request that are in flight
     is_answered: bool  # whether the final response has been sent to the client
-    since_execution_ns: int | None  # since the first attempt that may have been executed; None if none may
-    since_client_disconnect_ns: int | None  # since the node detected it; None if still connected
-    since_endpoint_removal_ns: int | None  # since the node learned of its drain or removal; None if available
-    drain_grace_ns: int
+    since_execution_ns: int | None  # time since the first attempt that may have been executed, if any
+    since_client_disconnect_ns: int | None  # time since the node detected it; None if connected
+    since_endpoint_removal_ns: int | None  # time since the node learned of its drain or removal, if any
+    drain_grace_ns: int  # time after a drain or removal in which a request may still be written
     timeout_ns: int  # remaining time that the request states to the server
     remaining_ns: int  # time until the client's deadline
 
--- a/moleport/node/load_report.py
+++ b/moleport/node/load_report.py
@@ -41,6 +41,7 @@
             return ()
 
     def _warn_once(self, header: bytes, error: Exception) -> None:
+        """Log an invalid report, unless one has been logged before."""
         if self._has_warned:
             return
         self._has_warned = True
--- a/moleport/node/reconnect_backoff.py
+++ b/moleport/node/reconnect_backoff.py
@@ -27,7 +27,7 @@
         self.failure_count = 0  # since the last reset
 
     def reset(self) -> None:
-        """Return to the shortest delay, after a watch has succeeded."""
+        """Return to the shortest delay; called when an update has arrived."""
         self.failure_count = 0
 
     def next_delay_seconds(self) -> float:
--- a/moleport/node/response_parser.py
+++ b/moleport/node/response_parser.py
@@ -161,6 +161,7 @@
             self._headers.append((name, value))
 
     def _check_head_size(self) -> None:
+        """Raise InvalidResponseError if the reason phrase, headers and trailers exceed MAX_HEAD_BYTES."""
         if self._header_bytes > MAX_HEAD_BYTES:
             raise InvalidResponseError(
                 f"response head of over {self._header_bytes} bytes exceeds {MAX_HEAD_BYTES}"
--- a/moleport/node/server_connection.py
+++ b/moleport/node/server_connection.py
@@ -61,7 +61,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse data from the server, and end the attempt with a complete or invalid response."""
         parser = self._parser
-        if self._attempt is None or parser is None:  # data without a request in flight
+        if self._attempt is None or parser is None:  # the server sent data while no request was in flight
             self.close()
             return
         try:
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -24,7 +24,7 @@
 from moleport.policy.interface import EndpointState
 from moleport.units import NS_PER_MS
 
-FORGET_THRESHOLD_SERVERS = 1024  # up to it, removed servers are remembered, because a server may return
+FORGET_THRESHOLD_SERVERS = 1024  # see `forget_removed`; a server that was removed may return
 
 
 class RecordedStart(NamedTuple):
@@ -60,6 +60,7 @@
                 self._starts[endpoint.id] = self._new_start(endpoint.started_ms, now_ns)
 
     def _new_start(self, reported_ms: int, now_ns: int) -> RecordedStart:
+        """Translate a start that was reported at `now_ns` (monotonic ns) as Unix time `reported_ms` (ms)."""
         age_ms = 0
         if self._is_initial_list:
             age_ms = max(0, self._newest_reported_ms - reported_ms)
@@ -85,6 +86,6 @@
         """
         if len(self._starts) <= 2 * len(listed) + FORGET_THRESHOLD_SERVERS:
             return
-        removed = [name for name in self._starts if name not in listed]
-        for name in removed[: len(removed) - len(listed)]:
-            del self._starts[name]
+        removed = [endpoint_id for endpoint_id in self._starts if endpoint_id not in listed]
+        for endpoint_id in removed[: len(removed) - len(listed)]:
+            del self._starts[endpoint_id]
