--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -57,7 +57,7 @@
 _LIST_ENTRY = struct.Struct("<6sBHHBfQ")  # the fields of `ListEntry`, in order
 _FLOAT_BYTES = 4
 _ACTION_COUNT_BYTES = 4
-_MAX_TEXT_BYTES = 60_000  # chosen by the adapter, below the 65_535 bytes that the length field allows
+_MAX_TEXT_BYTES = 60_000  # the length field of a text allows 65_535
 
 # Each layout begins with the action code; the comment lists the fields after it.
 _ACTION_LAYOUTS = {
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -85,6 +85,14 @@
         "odd",
         "trailer",
     )
+    """Names of the ways in which a server answers seven of ten requests; it serves the others.
+
+    `serve` sends a complete response, and `slow` sends it after a delay. `hang` sends nothing, `reset` resets
+    the connection instead, and `cut` resets it within the response. `no_length` sends a response that the end
+    of the connection delimits, and `close` closes the connection after a complete one. `refuse` states that
+    the request was not executed; `trailer` states it in a trailer only. `error`, `garbage` and `odd` send a
+    response that is an error, malformed or unusual.
+    """
 
     def __init__(self, name: str, observations: Observations, seed: int) -> None:
         self.name = name
@@ -197,7 +205,7 @@
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.fault = ""
+        self.fault = ""  # name of the active fault; empty for none
         self.port = 0
 
     async def start(self) -> None:
--- a/soak/shims.py
+++ b/soak/shims.py
@@ -64,6 +64,8 @@
     time.time = lambda: real_time() + faults.get("wall_offset_ms") / 1000
 
     class FaultySocket(socket.socket):
+        """A socket whose accept fails while the control file has an error number for it."""
+
         def accept(self) -> tuple[socket.socket, Any]:
             if error_number := faults.get("accept_errno"):
                 faults.set(accepts_failed=faults.get("accepts_failed") + 1)
@@ -71,6 +73,8 @@
             return super().accept()
 
     class FaultyLoop(uvloop.Loop):
+        """An event loop whose connects fail while the control file has an error number for them."""
+
         async def create_connection(self, *arguments: Any, **options: Any) -> Any:
             error_number, port = faults.get("connect_errno"), faults.get("connect_port")
             if error_number and port in (0, arguments[2]):
--- a/tests/adapter/test_adapter.py
+++ b/tests/adapter/test_adapter.py
@@ -196,6 +196,7 @@
 
 
 def test_the_index_of_the_node_is_optional() -> None:
+    """The index is None if the setting is missing; a negative one is an error."""
     without_index = "".join(line for line in CONFIG.splitlines(True) if not line.startswith("SelfIndex="))
     assert translation.read_settings(without_index).node_index is None
     assert translation.read_settings(without_index + "SelfIndex=3\n").node_index == 3
--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -26,6 +26,7 @@
 
 
 def nested_list(level_count: int) -> Any:
+    """Return lists that contain each other, with this number of levels."""
     value: Any = 1
     for _ in range(level_count):
         value = [value]
@@ -33,6 +34,7 @@
 
 
 def load_text(text: str) -> Config:
+    """Load a configuration file with this content."""
     with TemporaryDirectory() as folder:
         path = Path(folder, "config.json")
         path.write_text(text, encoding="utf-8", errors="surrogatepass")
@@ -64,6 +66,7 @@
 
 
 def with_value(document: dict[str, Any], path: tuple[Any, ...], value: Any) -> dict[str, Any]:
+    """Return a copy of a document with another value at the path."""
     document = copy.deepcopy(document)
     parent: Any = document
     for key in path[:-1]:
@@ -75,6 +78,7 @@
 @hypothesis_settings(max_examples=600, deadline=None, database=None, derandomize=True)
 @given(st.sampled_from(PATHS), REPLACEMENT_VALUES)
 def test_a_changed_document_is_usable_or_its_error_names_the_key(path: tuple[Any, ...], value: Any) -> None:
+    """Guards against values that pass the checks of the configuration and make the node fail later."""
     try:
         config = load_text(json.dumps(with_value(DOCUMENT, path, value)))
     except ConfigError as error:
@@ -106,11 +110,13 @@
 def test_the_error_for_an_invalid_value_names_its_key(
     path: tuple[Any, ...], value: Any, named_key: str
 ) -> None:
+    """The values have the wrong type, cannot be encoded or are out of range."""
     with pytest.raises(ConfigError, match=named_key):
         load_text(json.dumps(with_value(DOCUMENT, path, value)))
 
 
 def test_unknown_settings_may_have_any_value() -> None:
+    """A setting that the node does not read has no effect, whatever its nesting and type."""
     document = copy.deepcopy(DOCUMENT)
     document["settings"]["Other"] = {"a": [nested_list(20), {"b": None}], "c": [{"d": [[]]}, 5]}
     assert load_text(json.dumps(document)) == load_text(json.dumps(DOCUMENT))
@@ -122,5 +128,6 @@
     ids=["nested lists", "nested objects", "empty", "number", "list", "surrogate"],
 )
 def test_a_file_without_a_json_object_is_an_error(text: str) -> None:
+    """The error names BALANCER_CONFIG, also for text that is nested too deeply to parse."""
     with pytest.raises(ConfigError, match="BALANCER_CONFIG"):
         load_text(text)
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -154,9 +154,9 @@
             Server("s-1", answer_when_released) as server,
             program(configuration(server), tmp_path, code=SLOW_SHUTDOWN_CODE) as node,
         ):
-            held_client, idle_client = await node.client(), await node.client()
+            in_flight_client, idle_client = await node.client(), await node.client()
             assert status(await idle_client.ask(request(body=b"before"))) == 200
-            held_client.writer.write(request(body=b"held"))
+            in_flight_client.writer.write(request(body=b"held"))
             await until(lambda: len(server.seen) == 2)
             node.process.send_signal(signal.SIGTERM)
             health_client = await node.client()
@@ -168,7 +168,7 @@
             assert (response.body, response.headers.get("connection")) == (b"after", None)
             assert await idle_client.ended() == b""
             release.set()
-            response = await held_client.read()
+            response = await in_flight_client.read()
             assert (response.body, response.headers["connection"]) == (b"held", "close")
             assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
 
@@ -449,21 +449,21 @@
             document["known"]["servers"] = entries[: len(entries) // 2]
             reply_while_up, discovery.reply = discovery.reply, reply_while_down
             async with program(document, tmp_path) as node:
-                held_clients: list[Client] = []
+                in_flight_clients: list[Client] = []
                 for _ in range(sockets // 3):
-                    held_clients.append(await node.client())
-                    held_clients[-1].writer.write(request("order", body=b"held"))
+                    in_flight_clients.append(await node.client())
+                    in_flight_clients[-1].writer.write(request("order", body=b"held"))
                     # The accept queue of the server is short.
-                    await until(lambda: len(old_server.seen) >= len(held_clients) - 20)
-                await until(lambda: len(old_server.seen) == len(held_clients))
-                idle_count = max_client_connections(sockets) - len(held_clients) + 300
+                    await until(lambda: len(old_server.seen) >= len(in_flight_clients) - 20)
+                await until(lambda: len(old_server.seen) == len(in_flight_clients))
+                idle_count = max_client_connections(sockets) - len(in_flight_clients) + 300
                 tasks = [
                     asyncio.create_task(_stay_connected(node, slot % 4 == 0)) for slot in range(idle_count)
                 ]
                 await until(lambda: _accept_queue_length(node) > 150)
                 for _ in range(3):
                     await assert_served(node)
-                assert old_server.connections == len(old_server.seen) == len(held_clients) + 3
+                assert old_server.connections == len(old_server.seen) == len(in_flight_clients) + 3
                 assert status(await _ask_until_answered(node, UP)) == 200
                 await until(lambda: len(discovery.targets) > 3)  # the backoff has grown
                 await until(lambda: _accept_queue_length(node) > 50)
@@ -482,7 +482,7 @@
                 assert (len(old_server.seen), len(new_server.seen)) == (old_request_count, 3)
                 assert status(await _ask_until_answered(node, UP)) == 200
                 release.set()
-                assert {status(await client.read()) for client in held_clients} == {200}
+                assert {status(await client.read()) for client in in_flight_clients} == {200}
                 assert _max_open_descriptors(node.process.pid) <= sockets
                 assert node.process.returncode is None
                 for task in tasks:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -37,6 +37,7 @@
 
 @pytest.mark.parametrize("line", INVALID_LINES)
 def test_an_invalid_line_is_an_error_that_names_the_line(line: str, tmp_path: Path) -> None:
+    """A line is invalid if a field is missing or wrong, or if its test is listed twice."""
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(f"{ENTRY}\n{line}\n")
     with pytest.raises(ValueError, match="line 2"):
@@ -44,6 +45,7 @@
 
 
 def test_an_entry_has_test_command_seed_what_was_seen_and_issue(tmp_path: Path) -> None:
+    """The seed is a number, or "none" for a test without one."""
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(ENTRY + "\n" + ENTRY.replace("test_a", "test_b").replace("| 7 |", "| none |") + "\n")
     first, second = read_known_red(path).values()
@@ -78,6 +80,7 @@
 def test_only_a_listed_test_that_fails_lets_the_run_pass(
     body: str, passes: bool, seen: str, tmp_path: Path
 ) -> None:
+    """A listed test that passes must leave the list, and another exception is another fault."""
     run = run_with_entry(body, seen, tmp_path)
     assert (run.returncode == 0) is passes
 
@@ -94,6 +97,7 @@
 def test_a_test_that_fails_intermittently_may_pass_and_its_result_is_printed(
     body: str, passes: bool, result: str, tmp_path: Path
 ) -> None:
+    """Any mixture of passes and listed failures is accepted; another exception fails the run."""
     run = run_with_entry(body, "it hangs in 2 of 5 runs", tmp_path)
     assert (run.returncode == 0) is passes
     assert f"seed none; this run: {result}\n" in run.stdout
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -11,6 +11,7 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_every_file_that_a_page_names_exists(page: str) -> None:
+    """Guards against pages that name moved or deleted files."""
     named_paths = re.findall(
         r"`((?:moleport|tests|docs|soak|scale|deploy)/[\w./-]*)`", (ROOT / page).read_text()
     )
