--- a/tests/endpoint_entries.py
+++ b/tests/endpoint_entries.py
@@ -1,4 +1,4 @@
-"""Endpoint lists for tests, and what a node under test makes of them."""
+"""Endpoint lists for tests, and access to the endpoints that a node under test knows."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from moleport.node.name_hashing import hash_name
 from moleport.policy import interface as api
 
-MANY = 7200  # servers of a long list
+MANY = 7200  # servers in a long list
 
 
 def entries(numbers: Iterable[int], address: str = "127.0.0.1:9", **more: Any) -> list[dict[str, Any]]:
-    """Return endpoint list entries as discovery writes them."""
+    """Return endpoint list entries of servers by number, as discovery writes them; `more` replaces keys."""
     return [
         {"id": f"s-{number}", "addr": address, "zone": "room", "kind": "box", "state": "Ready"} | more
         for number in numbers
@@ -24,17 +24,17 @@
 
 
 def update_text(version: int, found: list[dict[str, Any]], full: bool = True) -> bytes:
-    """Return an update as discovery writes it."""
+    """Return an update as a line of a watch, as discovery writes it."""
     return json.dumps({"version": version, "full": full, "servers": found}).encode() + b"\n"
 
 
 def update(found: list[dict[str, Any]], full: bool = True) -> DiscoveryUpdate:
-    """Return a parsed update."""
+    """Return an update of version 9 as the node parses it."""
     return parse_update({"version": 9, "full": full, "servers": found})
 
 
 def configuration_with(found: list[dict[str, Any]], source: Discovery | None = None) -> dict[str, Any]:
-    """Return a configuration that names these entries."""
+    """Return a configuration document with a known list of entries, and the address of an agent."""
     document = configuration(discovery=source.address) if source else configuration()
     document["known"]["servers"] = found
     return document
@@ -51,15 +51,15 @@
 
 
 def endpoint_updates(rig: Rig) -> list[api.EndpointUpdate]:
-    """Return the updates that the policy was notified of."""
+    """Return the updates that the policy received."""
     return [event for event in rig.spy.events if isinstance(event, api.EndpointUpdate)]
 
 
 async def wait_until_applied(rig: Rig) -> None:
-    """Wait until the last slice is applied."""
+    """Wait until the node has applied the last slice of an update; raises TimeoutError."""
     await until(lambda: not rig.node.endpoint_list._pending)
 
 
 def ids(numbers: Iterable[int]) -> set[api.EndpointId]:
-    """Return the hashed ids of entries."""
+    """Return the ids that the policy uses for servers by number."""
     return {hash_name(f"s-{number}") for number in numbers}
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,8 +1,8 @@
-"""A hollow fleet: many balancers in one process on simulated time, and servers that are modelled.
+"""A simulated fleet: many balancers in one process on a simulated clock, with simulated servers.
 
-It tells what a node's own tests can't: what all nodes together send to a server. Servers take requests
-into a bounded queue and work on a few at once; a cold one works more slowly. None falls: the tests count
-what it got.
+It shows what the tests of a single node can't: what all nodes together send to a server. Servers have a
+bounded queue and execute a few requests at the same time, more slowly while they are in slow start. An
+overloaded server does not fail; the tests count the requests that it got. Times are in ns.
 """
 
 from __future__ import annotations
@@ -22,61 +22,65 @@
 
 LATENCY_NS = MS  # one way
 CONNECT_TIMEOUT_NS = 60 * MS
-NOTIFICATION_DELAY_NS = 300 * MS  # of a change, each node at its own time
+NOTIFICATION_DELAY_NS = 300 * MS  # maximum delay of a change; it is random for each node
 KEY_COUNT = 5000
 
 
 @dataclass
 class Plan:
-    """One run. Rates and capacities are in requests of mean work."""
+    """The parameters of a run. Rates and capacities count requests of mean work; times are in ns."""
 
     nodes: int
     servers: int
-    utilisation: float  # of all servers, warm
+    utilisation: float  # of all servers, outside slow start
     overload_multiple: float
     overload_window_ns: int
     slow_start_initial_ratio: float
     slow_start_duration_ns: int
-    lost: float  # part of the servers that goes, and comes back cold
-    lost_for: int = 1500 * MS
-    lost_later: float = 0.0  # part of the servers that goes for good while the first are cold again
-    steps: int = 1  # in which they come back
+    lost: float  # fraction of the servers that is removed, and added again in slow start
+    outage_ns: int = 1500 * MS
+    lost_later: float = 0.0  # fraction that is removed for good while the first are in slow start
+    steps: int = 1  # in which the lost servers are added again
     step_time: int = SECOND
     latency_objectives_ns: tuple[int, int] = (200 * MS, 500 * MS)
-    deadlines: tuple[int, int] = (400 * MS, 2500 * MS)
-    capacity: float = 40.0  # of a warm server, a second
-    cores: int = 4  # requests that a server works on at once
-    queued: int = 16  # requests that wait at a server; it turns others away
+    deadlines_ns: tuple[int, int] = (400 * MS, 2500 * MS)
+    capacity: float = 40.0  # requests a second of a server outside slow start
+    cores: int = 4  # requests that a server executes at the same time
+    queued: int = 16  # length of a server's queue; it rejects further requests
     warm_up: int = 8 * SECOND
-    watched: int = 8 * SECOND  # since the return
-    restarted: float = 0.0  # part of the nodes that start anew as the servers return
-    busy_part: float = 0.2  # of the nodes get so many times the others' traffic
-    busy_times: float = 4.0
-    moves: int = 0  # after so long the traffic goes to other nodes; 0: never
+    watched: int = 8 * SECOND  # measured time after the last step
+    restarted: float = 0.0  # fraction of the nodes that restart just before the servers are added again
+    busy_node_ratio: float = 0.2  # of the nodes, which get more traffic
+    busy_node_load_multiple: float = 4.0  # traffic of a busy node in relation to another one
+    redistribution_interval_ns: int = 0  # after which other nodes become the busy ones; 0: never
     seed: int = 1
     has_keys: bool = True
 
 
 @dataclass(eq=False)
 class Server:
+    """A simulated server."""
+
     entry: api.Endpoint
-    up: bool = True
-    at_work: int = 0
+    is_up: bool = True
+    busy_core_count: int = 0
     queue: deque[Callable[[], None]] = field(default_factory=deque)
-    arrivals: list[int] = field(default_factory=list)  # attempts since it last started
+    arrivals: list[int] = field(default_factory=list)  # times of attempts since its last start
 
 
-class Member:
-    """A node with its part of the traffic."""
+class FleetNode:
+    """A simulated node."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.balancer: Balancer | None = None
-        self.incarnation = 0  # counts its starts: what was meant for an earlier one is void
+        self.incarnation = 0  # number of its starts; events for an earlier one are discarded
         self.attempts: dict[int, int] = {}
 
 
 class Fleet:
+    """The nodes, servers and requests of a run, with the queue of simulated events."""
+
     def __init__(self, plan: Plan) -> None:
         self.plan, self.random, self.now = plan, Random(plan.seed), START
         self.settings = settings(
@@ -93,135 +97,147 @@
         )
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
-        self.served = self.asked = 0
+        self.success_count = self.request_count = 0
         entries = [self._entry(number, 0) for number in range(plan.servers)]
         self.servers = {entry.id: Server(entry) for entry in entries}
-        self.members = [Member(number) for number in range(plan.nodes)]
-        self._share_out()
-        for member in self.members:
-            self._start(member)
-        self._next_request()
+        self.nodes = [FleetNode(number) for number in range(plan.nodes)]
+        self._distribute_load()
+        for node in self.nodes:
+            self._start(node)
+        self._schedule_request()
 
     @staticmethod
     def _entry(number: int, started: int, state: api.EndpointState = api.EndpointState.READY) -> api.Endpoint:
         return api.Endpoint(number.to_bytes(6, "big"), 0, number // 4, state, 1.0, started)
 
-    # Time.
+    # Simulated time.
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
+    def schedule(self, at_ns: int, action: Callable[[], None]) -> None:
+        """Call an action at a simulated time."""
         self._count += 1
-        heappush(self._events, (when, self._count, what))
+        heappush(self._events, (at_ns, self._count, action))
 
     def run(self, span: int) -> None:
+        """Execute the events of the next `span`."""
         end = self.now + span
         while self._events and self._events[0][0] <= end:
-            self.now, _, what = heappop(self._events)
-            what()
+            self.now, _, action = heappop(self._events)
+            action()
         self.now = end
 
     # Nodes.
 
-    def _start(self, member: Member) -> None:
-        member.incarnation += 1
-        own_settings = replace(self.settings, node_index=member.number)
-        member.balancer = Balancer(own_settings, self.random.getrandbits(32))
-        self._act(member, member.balancer.start(self.now))
-        ready = tuple(server.entry for server in self.servers.values() if server.up)
-        self._tell(member, member.incarnation, api.EndpointUpdate(api.EndpointUpdateKind.SNAPSHOT, ready))
+    def _start(self, node: FleetNode) -> None:
+        node.incarnation += 1
+        own_settings = replace(self.settings, node_index=node.number)
+        node.balancer = Balancer(own_settings, self.random.getrandbits(32))
+        self._execute(node, node.balancer.start(self.now))
+        ready = tuple(server.entry for server in self.servers.values() if server.is_up)
+        self._notify(node, node.incarnation, api.EndpointUpdate(api.EndpointUpdateKind.SNAPSHOT, ready))
 
-    def _tell(self, member: Member, life: int, event: api.Event) -> None:
-        if life == member.incarnation and member.balancer is not None:
-            self._act(member, member.balancer.handle(self.now, event))
+    def _notify(self, node: FleetNode, incarnation: int, event: api.Event) -> None:
+        if incarnation == node.incarnation and node.balancer is not None:
+            self._execute(node, node.balancer.handle(self.now, event))
 
-    def _act(self, member: Member, actions: list[api.Action]) -> None:
+    def _execute(self, node: FleetNode, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
                 timer = api.TimerFired(action.timer_id)
-                self.at(action.at_ns, lambda e=timer, life=member.incarnation: self._tell(member, life, e))
+                self.schedule(
+                    action.at_ns,
+                    lambda event=timer, incarnation=node.incarnation: self._notify(node, incarnation, event),
+                )
             elif isinstance(action, api.Forward):
-                self._carry(member, member.incarnation, action)
-
-    def _share_out(self) -> None:
-        busy = set(self.random.sample(range(self.plan.nodes), round(self.plan.busy_part * self.plan.nodes)))
-        shares = [self.plan.busy_times if number in busy else 1.0 for number in range(self.plan.nodes)]
-        self._shares = [sum(shares[: number + 1]) for number in range(self.plan.nodes)]
-        if self.plan.moves:
-            self.at(self.now + self.plan.moves, self._share_out)
+                self._forward(node, node.incarnation, action)
 
-    def _next_request(self) -> None:
+    def _distribute_load(self) -> None:
+        busy = set(
+            self.random.sample(range(self.plan.nodes), round(self.plan.busy_node_ratio * self.plan.nodes))
+        )
+        shares = [
+            self.plan.busy_node_load_multiple if number in busy else 1.0 for number in range(self.plan.nodes)
+        ]
+        self._cumulative_loads = [sum(shares[: number + 1]) for number in range(self.plan.nodes)]
+        if self.plan.redistribution_interval_ns:
+            self.schedule(self.now + self.plan.redistribution_interval_ns, self._distribute_load)
+
+    def _schedule_request(self) -> None:
         rate = self.plan.utilisation * self.plan.capacity * self.plan.servers / SECOND
-        self.at(self.now + int(self.random.expovariate(rate)), self._ask)
+        self.schedule(self.now + int(self.random.expovariate(rate)), self._send_request)
 
-    def _ask(self) -> None:
-        (member,) = self.random.choices(self.members, cum_weights=self._shares)
-        self.asked += 1
+    def _send_request(self) -> None:
+        (node,) = self.random.choices(self.nodes, cum_weights=self._cumulative_loads)
+        self.request_count += 1
         index = self.random.random() < 0.2
-        key = 1 + int(KEY_COUNT * self.random.random() ** 1.5)  # some come more often, none is hot
+        key = 1 + int(KEY_COUNT * self.random.random() ** 1.5)  # some keys are more frequent, but none is hot
         key *= self.plan.has_keys
-        request = api.Request(self._count, self.plan.deadlines[index], int(index), 0, key, False)
-        self._tell(member, member.incarnation, request)
-        self._next_request()
+        request = api.Request(self._count, self.plan.deadlines_ns[index], int(index), 0, key, False)
+        self._notify(node, node.incarnation, request)
+        self._schedule_request()
 
     # Servers.
 
-    def capacity(self, entry: api.Endpoint, at: int) -> float:
-        """A second. From the cold share rising evenly to all."""
-        age = (at - entry.started_at_ns) / self.plan.slow_start_duration_ns if entry.started_at_ns else 1.0
-        warmth = self.plan.slow_start_initial_ratio + (1.0 - self.plan.slow_start_initial_ratio) * age
-        return self.plan.capacity * min(1.0, warmth)
+    def capacity(self, entry: api.Endpoint, at_ns: int) -> float:
+        """Return the capacity of a server in requests a second, which rises linearly during slow start."""
+        age = (at_ns - entry.started_at_ns) / self.plan.slow_start_duration_ns if entry.started_at_ns else 1.0
+        capacity_ratio = self.plan.slow_start_initial_ratio + (1.0 - self.plan.slow_start_initial_ratio) * age
+        return self.plan.capacity * min(1.0, capacity_ratio)
 
-    def _carry(self, member: Member, life: int, send: api.Forward) -> None:
-        sent, number = self.now, member.attempts.get(send.request_id, -1) + 1
-        member.attempts[send.request_id] = number
-        server, over = self.servers[send.endpoint_id], False
+    def _forward(self, node: FleetNode, incarnation: int, forward: api.Forward) -> None:
+        sent_at, number = self.now, node.attempts.get(forward.request_id, -1) + 1
+        node.attempts[forward.request_id] = number
+        server, is_complete = self.servers[forward.endpoint_id], False
 
         def end(result: AttemptResult) -> None:
-            nonlocal over
-            if over:
+            nonlocal is_complete
+            if is_complete:
                 return
-            over = True
+            is_complete = True
             closed = result is AttemptResult.OK
-            self.served += closed
-            elapsed = self.now - sent
-            event = api.AttemptOutcome(send.request_id, closed, result, elapsed, send.endpoint_id, number, ())
-            self._tell(member, life, event)
+            self.success_count += closed
+            elapsed = self.now - sent_at
+            event = api.AttemptOutcome(
+                forward.request_id, closed, result, elapsed, forward.endpoint_id, number, ()
+            )
+            self._notify(node, incarnation, event)
 
         def arrive() -> None:
-            if not server.up:
-                self.at(sent + CONNECT_TIMEOUT_NS, lambda: end(AttemptResult.CONNECT_FAILED))
+            if not server.is_up:
+                self.schedule(sent_at + CONNECT_TIMEOUT_NS, lambda: end(AttemptResult.CONNECT_FAILED))
                 return
             server.arrivals.append(self.now)
-            if server.at_work < self.plan.cores:
+            if server.busy_core_count < self.plan.cores:
                 work()
             elif len(server.queue) < self.plan.queued:
                 server.queue.append(work)
             else:
-                self.at(self.now + LATENCY_NS, lambda: end(AttemptResult.REJECTED))
+                self.schedule(self.now + LATENCY_NS, lambda: end(AttemptResult.REJECTED))
 
         def work() -> None:
-            server.at_work += 1
-            pace = self.capacity(server.entry, self.now) / self.plan.cores / SECOND
-            span = int(self.random.gammavariate(4.0, 0.25) / pace)
-            self.at(self.now + span, done)
+            server.busy_core_count += 1
+            requests_per_ns = self.capacity(server.entry, self.now) / self.plan.cores / SECOND
+            span = int(self.random.gammavariate(4.0, 0.25) / requests_per_ns)
+            self.schedule(self.now + span, done)
 
         def done() -> None:
-            server.at_work -= 1
+            server.busy_core_count -= 1
             end(AttemptResult.OK)
             if server.queue:
                 server.queue.popleft()()
 
-        self.at(sent + LATENCY_NS, arrive)
-        self.at(sent + send.timeout_ns, lambda: end(AttemptResult.TIMEOUT))
+        self.schedule(sent_at + LATENCY_NS, arrive)
+        self.schedule(sent_at + forward.timeout_ns, lambda: end(AttemptResult.TIMEOUT))
 
-    def lose(self, numbers: Sequence[int]) -> None:
-        """They fail at once; the list tells of it."""
+    def remove_servers(self, numbers: Sequence[int]) -> None:
+        """Let servers fail now, and publish their removal from the list."""
         for number in numbers:
             server = self.servers[self._entry(number, 0).id]
-            server.up = False
+            server.is_up = False
             server.queue.clear()
         self._publish([self._entry(number, 0, api.EndpointState.REMOVED) for number in numbers])
 
-    def come_back(self, numbers: Sequence[int]) -> None:
+    def add_servers(self, numbers: Sequence[int]) -> None:
+        """Start servers again now, and publish them."""
         entries = [self._entry(number, self.now) for number in numbers]
         for entry in entries:
             self.servers[entry.id] = Server(entry)
@@ -229,57 +245,66 @@
 
     def _publish(self, entries: list[api.Endpoint]) -> None:
         change = api.EndpointUpdate(api.EndpointUpdateKind.DELTA, tuple(entries))
-        for member in self.members:
+        for node in self.nodes:
             delay = self.random.randrange(NOTIFICATION_DELAY_NS)
-            self.at(self.now + delay, lambda m=member, life=member.incarnation: self._tell(m, life, change))
+            self.schedule(
+                self.now + delay,
+                lambda node=node, incarnation=node.incarnation: self._notify(node, incarnation, change),
+            )
 
-    def restart(self, part: float) -> None:
-        for member in self.random.sample(self.members, round(part * len(self.members))):
-            self._start(member)
+    def restart_nodes(self, part: float) -> None:
+        """Restart a fraction of the nodes, chosen at random."""
+        for node in self.random.sample(self.nodes, round(part * len(self.nodes))):
+            self._start(node)
 
-    # What is measured.
+    # Measurements.
 
     def excess(self, server: Server) -> float:
-        """The most that any window held, against what was allowed then: above 1 the server falls."""
-        most, first, times = 0.0, 0, server.arrivals
-        for last, at in enumerate(times):
-            if at >= server.entry.started_at_ns + self.plan.slow_start_duration_ns:
+        """Return the highest ratio of requests in a window to the allowed requests; above 1 is overload."""
+        max_excess, first, times = 0.0, 0, server.arrivals
+        for last, at_ns in enumerate(times):
+            if at_ns >= server.entry.started_at_ns + self.plan.slow_start_duration_ns:
                 break
-            while times[first] <= at - self.plan.overload_window_ns:
+            while times[first] <= at_ns - self.plan.overload_window_ns:
                 first += 1
             span = self.plan.overload_window_ns / SECOND
-            allowed = self.plan.overload_multiple * self.capacity(server.entry, at) * span
-            most = max(most, (last + 1 - first) / (allowed + 2.0 * sqrt(allowed) + 2.0))
-        return most
+            allowed = self.plan.overload_multiple * self.capacity(server.entry, at_ns) * span
+            max_excess = max(max_excess, (last + 1 - first) / (allowed + 2.0 * sqrt(allowed) + 2.0))
+        return max_excess
 
     def used(self, server: Server, until: int) -> float:
-        """What it got of all that it could do since its start."""
-        begun, step = server.entry.started_at_ns, 100 * MS
-        could = sum(self.capacity(server.entry, at) * step / SECOND for at in range(begun, until, step))
-        return sum(at <= until for at in server.arrivals) / could
+        """Return the ratio of the requests that a server got to its capacity, from its start to `until`."""
+        started_at, step = server.entry.started_at_ns, 100 * MS
+        possible_requests = sum(
+            self.capacity(server.entry, at_ns) * step / SECOND for at_ns in range(started_at, until, step)
+        )
+        return sum(at_ns <= until for at_ns in server.arrivals) / possible_requests
 
 
 @dataclass
 class Report:
-    excess: float  # of the cold server that came nearest to its fall, or furthest beyond
-    fallen: int
-    cold: int
-    used: float  # by the cold servers, of what they could do while they were watched
-    served: float  # part of all requests since the return
+    """The results of a run."""
+
+    excess: float  # highest `Fleet.excess` of a server that was in slow start
+    overloaded: int  # servers whose excess is above 1
+    cold: int  # servers that were in slow start
+    used: float  # mean `Fleet.used` of these servers
+    served: float  # successful fraction of the requests since the servers were first added again
 
 
 def play(plan: Plan) -> Report:
+    """Simulate a plan and return its results."""
     fleet = Fleet(plan)
     lost = range(round(plan.lost * plan.servers))
     fleet.run(plan.warm_up)
-    fleet.lose(lost)
-    fleet.run(plan.lost_for)
-    fleet.restart(plan.restarted)
-    served, asked = fleet.served, fleet.asked
+    fleet.remove_servers(lost)
+    fleet.run(plan.outage_ns)
+    fleet.restart_nodes(plan.restarted)
+    success_count, request_count = fleet.success_count, fleet.request_count
     for step in range(plan.steps):
-        fleet.come_back(lost[step :: plan.steps])
+        fleet.add_servers(lost[step :: plan.steps])
         fleet.run(plan.step_time if step + 1 < plan.steps else plan.watched // 2)
-    fleet.lose(range(len(lost), len(lost) + round(plan.lost_later * plan.servers)))
+    fleet.remove_servers(range(len(lost), len(lost) + round(plan.lost_later * plan.servers)))
     fleet.run(plan.watched - plan.watched // 2)
     until = min(fleet.now, fleet.now - plan.watched + plan.slow_start_duration_ns)
     cold = [server for server in fleet.servers.values() if server.entry.started_at_ns]
@@ -287,8 +312,8 @@
     used = sum(fleet.used(server, until) for server in cold) / len(cold)
     return Report(
         max(excesses),
-        sum(one > 1.0 for one in excesses),
+        sum(excess > 1.0 for excess in excesses),
         len(cold),
         used,
-        (fleet.served - served) / (fleet.asked - asked),
+        (fleet.success_count - success_count) / (fleet.request_count - request_count),
     )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""The real node on loopback sockets, with servers, a discovery agent and clients that a test scripts."""
+"""A real node on loopback sockets for tests, with scripted servers, a discovery agent and clients."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 from moleport.node.request import RESPONSE_TRANSIT_NS
 from moleport.policy import interface as api
 
-PATIENCE = 20.0  # s: only a failing test waits for so long
+PATIENCE = 20.0  # timeout in seconds, which only a failing test reaches
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the event loop that the node uses."""
+    """Run a test on the event loop that the node uses; raises TimeoutError."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(test, PATIENCE * 2))
 
 
-async def until(what: Callable[[], object]) -> None:
-    """Poll until the condition is true."""
+async def until(condition: Callable[[], object]) -> None:
+    """Poll until a condition is true; raises TimeoutError."""
     async with asyncio.timeout(PATIENCE):
-        while not what():
+        while not condition():
             await asyncio.sleep(0.002)
 
 
 class LoopLag:
-    """Measures how late the event loop runs its timers while the block is active."""
+    """Measures the longest delay of the event loop's timers while the block is active."""
 
     PERIOD_SECONDS = 0.002
 
@@ -57,15 +57,15 @@
     async def _measure(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + self.PERIOD_SECONDS
+            due_at = loop.time() + self.PERIOD_SECONDS
             await asyncio.sleep(self.PERIOD_SECONDS)
-            self.longest_s = max(self.longest_s, loop.time() - due)
+            self.longest_s = max(self.longest_s, loop.time() - due_at)
 
     def results_of_an_expired_attempt(self) -> list[list[api.AttemptResult]]:
         """Return the results that the policy may see of one attempt without a response.
 
-        An attempt expires RESPONSE_TRANSIT_NS before its client's deadline. Only a loop that is later than
-        that finds both due at once, and may answer the client first.
+        An attempt expires RESPONSE_TRANSIT_NS before its client's deadline. Only an event loop whose delay is
+        longer than that finds both due at once, and may answer the client first.
         """
         transit_s = RESPONSE_TRANSIT_NS / 1e9
         if self.longest_s < transit_s - self.PERIOD_SECONDS:
@@ -74,7 +74,7 @@
 
 
 class Message(NamedTuple):
-    """A request or response; `first` is its first line, header names are in lower case."""
+    """A request or response: `first` is its first line, and header names are in lower case."""
 
     first: str
     headers: dict[str, str]
@@ -97,6 +97,7 @@
 
 
 Script = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
+"""Handles a request that a server received, and writes the response."""
 
 
 async def serves(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -119,9 +120,9 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection; an abort alone closes it in order if nothing is unread."""
-    own = writer.get_extra_info("socket")
-    own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+    """Reset a connection; without SO_LINGER an abort closes it in order if no received data is unread."""
+    connection_socket = writer.get_extra_info("socket")
+    connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     writer.transport.abort()
 
 
@@ -130,14 +131,14 @@
 
 
 class Server:
-    """A server whose script answers each request."""
+    """A server that handles each request with its script; it listens while the block is active."""
 
     def __init__(self, name: str, script: Script = serves) -> None:
         self.name = name
         self.script = script
-        self.seen: list[Message] = []
-        self.connections = 0
-        self.open = 0
+        self.seen: list[Message] = []  # received requests
+        self.connections = 0  # accepted so far
+        self.open = 0  # connections
         self.state = "Ready"
         self.started_ms = 0
         self.address = ""
@@ -187,10 +188,10 @@
 
 
 class Discovery:
-    """A discovery agent that accepts watches and keeps them open."""
+    """A discovery agent that accepts watches and keeps them open; it listens while the block is active."""
 
     def __init__(self) -> None:
-        self.targets: list[str] = []
+        self.targets: list[str] = []  # request lines of the watches
         self.reply = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.address = ""
         self._writers: list[asyncio.StreamWriter] = []
@@ -204,8 +205,8 @@
         """Listen at a free address, or again at the earlier one."""
         _, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", int(port or 0))
-        host, number = self._server.sockets[0].getsockname()
-        self.address = f"{host}:{number}"
+        host, port_number = self._server.sockets[0].getsockname()
+        self.address = f"{host}:{port_number}"
 
     async def refuse(self) -> None:
         """Refuse connections until `listen` is called again."""
@@ -250,7 +251,7 @@
 
 
 def grade(name: str, semantics: str, deadline_ms: int = 10_000, aim_ms: int = 10_000) -> dict[str, Any]:
-    """Return a request class in the protocol's words."""
+    """Return a request class as the configuration file writes it."""
     return {
         "Aim": aim_ms * 10**6,
         "Deadline": deadline_ms * 10**6,
@@ -286,7 +287,7 @@
 
 
 def configuration(*servers: Server, discovery: str = "127.0.0.1:9", **limits: Any) -> dict[str, Any]:
-    """Return a node's configuration document; `limits` replace those of SETTINGS."""
+    """Return a node's configuration document; `limits` replace entries of `Limits` in SETTINGS."""
     settings = copy.deepcopy(SETTINGS)
     settings["Limits"].update(limits)
     return {
@@ -301,7 +302,7 @@
 
 
 class Spy:
-    """Wraps a node's balancer and records its events; `instead` may replace its decisions."""
+    """Wraps a node's balancer and records its events; the function `instead` may replace its actions."""
 
     def __init__(self, node: Dispatcher) -> None:
         self.events: list[api.Event] = []
@@ -310,10 +311,10 @@
         node._balancer = self  # type: ignore[assignment]
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Record the event and return the actions on it."""
+        """Record an event, and return the actions of `instead`, or of the balancer if that returns None."""
         self.events.append(event)
-        done = self.instead(event)
-        return self._balancer.handle(now, event) if done is None else done
+        actions = self.instead(event)
+        return self._balancer.handle(now, event) if actions is None else actions
 
     def attempts_in_flight(self) -> int:
         """Return the number of attempts in flight as the balancer counts it."""
@@ -359,7 +360,10 @@
         self.node.endpoint_list.discovery.close()
 
     async def shut_down(self, within: float) -> None:
-        """As on SIGTERM, but without serving on first; `within` is in s."""
+        """Shut down as after SIGTERM, but without a period in which requests are still accepted.
+
+        `within` is the time in seconds for open requests.
+        """
         await shut_down(self.listener, self.node, ShutdownPlan(serve_on_s=0.0, finish_within_s=within))
 
     async def client(self) -> Client:
@@ -367,25 +371,35 @@
         return Client(*await asyncio.open_connection(*self.address, limit=1 << 20))
 
     def watch(self) -> None:
-        """Open the discovery watch now; the balancer would do so within seconds."""
+        """Open the discovery watch now, instead of when the balancer does so, within seconds."""
         self.node._execute_action(api.WatchEndpoints())
 
 
-LEAVE = ("sending", "close", "reset")  # how a client may disconnect: half close, close, reset
-numbers = count(1)
+LEAVE = ("sending", "close", "reset")
+"""The ways in which a client may disconnect: by a half close, a close or a reset."""
+request_numbers = count(1)
 
 
 def request(
     kind: str = "", method: str = "", target: str = "/api", body: bytes = b"", **headers: str
 ) -> bytes:
-    """Return a request; without a class or method they follow from the body and from each other."""
+    """Return a request.
+
+    `kind` is the request class: by default `order` with a body, and `page` without one. The method is by
+    default GET for a `page`, and POST otherwise. An underscore in a header name stands for a hyphen, and an
+    empty value omits the header.
+    """
     kind = kind or ("order" if body else "page")
     method = method or ("GET" if kind == "page" else "POST")
-    given = {"Host": "service.internal", "X-Request-Id": f"{next(numbers):016x}", "X-Class": kind}
-    given |= {name.replace("_", "-"): value for name, value in headers.items()}
+    header_fields = {
+        "Host": "service.internal",
+        "X-Request-Id": f"{next(request_numbers):016x}",
+        "X-Class": kind,
+    }
+    header_fields |= {name.replace("_", "-"): value for name, value in headers.items()}
     if body or method != "GET":
-        given["Content-Length"] = str(len(body))
-    lines = "".join(f"{name}: {value}\r\n" for name, value in given.items() if value)
+        header_fields["Content-Length"] = str(len(body))
+    lines = "".join(f"{name}: {value}\r\n" for name, value in header_fields.items() if value)
     return f"{method} {target} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
 
@@ -416,7 +430,7 @@
             reset(self.writer)
 
     async def ended(self) -> bytes:
-        """Return what arrives until the node closes the connection."""
+        """Return the bytes that arrive until the node closes the connection; none if it resets it."""
         async with asyncio.timeout(PATIENCE):
             try:
                 return await self.reader.read()
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,6 +1,6 @@
-"""Helpers of the tests: settings, a hand-driven balancer, and the checker of the rules.
+"""Support of the policy's tests: settings, a balancer driven by hand, and random events with a rule checker.
 
-Nothing here models servers: the tests play events and look at the answers.
+Servers are not simulated: the tests pass events to a balancer and check its actions.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 DEADLINE_NS = SECOND
 
-# The rules as the checker holds them; the module is told only what it needs to keep them.
+# Limits that the checker applies; the balancer gets only the settings that it needs to keep them.
 DRAIN_GRACE_NS = 500 * MS
 OVERLOAD_MULTIPLE = 3.0
 OVERLOAD_WINDOW_NS = 1500 * MS
@@ -47,19 +47,22 @@
 
 
 def settings(**changes: object) -> api.Settings:
+    """Return `BASE` with changes."""
     return replace(BASE, **changes)  # type: ignore[arg-type]
 
 
 def server(number: int, state: api.EndpointState = api.EndpointState.READY, started: int = 0) -> api.Endpoint:
+    """Return an endpoint by its number; `started` is its start time in ns, 0 if unknown."""
     return api.Endpoint(number.to_bytes(6, "big"), number % 3, number // 3, state, 1.0, started)
 
 
 def whole(*servers: api.Endpoint) -> api.EndpointUpdate:
+    """Return a snapshot of endpoints."""
     return api.EndpointUpdate(api.EndpointUpdateKind.SNAPSHOT, servers)
 
 
 class Node:
-    """A balancer driven by hand, with ids given out in order."""
+    """A balancer driven by hand, with consecutive request ids; times are in ns."""
 
     def __init__(
         self,
@@ -80,6 +83,7 @@
         return [action for action in actions if isinstance(action, api.SetTimer)]
 
     def tell(self, event: api.Event) -> list[api.Action]:
+        """Pass an event to the balancer, record its timers and attempts, and return its actions."""
         actions = self.balancer.handle(self.now, event)
         self.timers += self._timers(actions)
         for action in actions:
@@ -88,7 +92,7 @@
         return actions
 
     def wait(self, span: int) -> list[api.Action]:
-        """Let time pass; timers that fall due are delivered on the way."""
+        """Advance the time by `span`, and deliver the timers that become due; return the actions."""
         end = self.now + span
         actions: list[api.Action] = []
         while due := [timer for timer in self.timers if timer.at_ns <= end]:
@@ -100,25 +104,28 @@
         return actions
 
     def ask(self, class_index: int = 0, key: int = 0, remaining_ns: int = SECOND) -> list[api.Action]:
+        """Pass a new request to the balancer, and return the actions."""
         self.next_id += 1
         return self.tell(api.Request(self.next_id - 1, remaining_ns, class_index, 0, key, False))
 
     def end(
         self,
-        send: api.Forward,
+        forward: api.Forward,
         result: api.AttemptResult,
         elapsed: int = 10 * MS,
         report: tuple[float, ...] = (),
     ) -> list[api.Action]:
-        """The outcome of the newest attempt of a request."""
-        attempt = len(self.sent[send.request_id]) - 1
+        """Report the outcome of the newest attempt of a request, and return the actions."""
+        attempt = len(self.sent[forward.request_id]) - 1
         closed = result is api.AttemptResult.OK
         return self.tell(
-            api.AttemptOutcome(send.request_id, closed, result, elapsed, send.endpoint_id, attempt, report)
+            api.AttemptOutcome(
+                forward.request_id, closed, result, elapsed, forward.endpoint_id, attempt, report
+            )
         )
 
     def serve(self, key: int, elapsed: int = 10 * MS, class_index: int = 0) -> api.EndpointId | None:
-        """One request that is answered at once; the server that got it."""
+        """Pass a new request and answer it; return the endpoint that it was forwarded to, or None."""
         action = self.ask(class_index, key)[-1]
         if not isinstance(action, api.Forward):
             return None
@@ -127,30 +134,38 @@
 
 
 class RuleBrokenError(AssertionError):
-    pass
+    """A rule was broken; the message begins with the name of the rule and a colon."""
 
 
-class _Try:
-    def __init__(self, server_entry: api.Endpoint, sent: int, time_out: int) -> None:
-        self.server = server_entry
+class _Attempt:
+    """An attempt that the balancer made; times are in ns."""
+
+    def __init__(self, endpoint: api.Endpoint, sent: int, timeout_ns: int) -> None:
+        self.server = endpoint
         self.sent = sent
-        self.time_out = time_out
+        self.timeout_ns = timeout_ns
         self.result: api.AttemptResult | None = None
 
 
-class _Taken:
-    def __init__(self, request: api.Request, kind: api.RequestClass, now: int) -> None:
+class _AcceptedRequest:
+    """A request that the balancer accepted, with its attempts; times are in ns."""
+
+    def __init__(self, request: api.Request, request_class: api.RequestClass, now: int) -> None:
         self.request = request
-        self.kind = kind
-        self.expires = now + request.remaining_ns
-        self.tries: list[_Try] = []
+        self.request_class = request_class
+        self.expires_at = now + request.remaining_ns
+        self.attempts: list[_Attempt] = []
         self.answered = False
-        self.streaming: int | None = None
-        self.rests_until = 0
+        self.streaming_attempt: int | None = None  # index of the attempt whose response is being streamed
+        self.cooldown_until = 0  # of its key, if its class is ordered by key
 
 
 class Game:
-    """A random legal sequence of events for one node, with the four rules checked on every answer."""
+    """A random legal sequence of events for one balancer, which checks every action against the rules.
+
+    The rules are `lost`, `duplicate`, `drain`, `cold`, `order` and `malformed`; a broken one raises
+    RuleBrokenError. Times are in ns.
+    """
 
     def __init__(
         self, balancer: Balancer, rules: api.Settings, random: Random, streams: bool = False
@@ -160,60 +175,65 @@
         self.now = START
         self.timers: list[api.SetTimer] = []
         self.listed: dict[api.EndpointId, api.Endpoint] = {}
-        self.stopped: dict[api.EndpointId, int] = {}  # when the node was told to stop sending
-        self.taken: dict[int, _Taken] = {}
-        self.sends: dict[api.EndpointId, list[int]] = {}
-        self.warm_sends: dict[api.EndpointId, list[int]] = {}  # those while the server was warm
-        self.before_start: dict[api.EndpointId, int] = {}  # sends before the node was told of the last start
+        self.not_ready_since: dict[api.EndpointId, int] = {}  # when the balancer was notified
+        self.requests: dict[int, _AcceptedRequest] = {}
+        self.send_times: dict[api.EndpointId, list[int]] = {}
+        self.warm_send_times: dict[api.EndpointId, list[int]] = {}  # those to an endpoint not in slow start
+        self.sends_before_start: dict[api.EndpointId, int] = {}  # before the newest start was listed
         self.log: list[tuple[api.Event | None, list[api.Action]]] = []
-        self.asked = 0
+        self.watch_count = 0
         self._check(None, balancer.start(self.now))
 
-    # The world's side.
+    # Generation of events.
 
     def play(self, steps: int) -> None:
-        self._list(api.EndpointUpdateKind.CACHED)
-        moves = [self._arrive] * 6 + [self._finish] * 5 + [self._pass] * 3
-        moves += [self._change_list, self._leave, self._begin_stream]
+        """Pass random events to the balancer, and let all open requests reach their deadlines."""
+        self._update_list(api.EndpointUpdateKind.CACHED)
+        possible_steps = [self._accept_request] * 6 + [self._finish_attempt] * 5 + [self._pass] * 3
+        possible_steps += [self._change_list, self._disconnect_client, self._begin_stream]
         for _ in range(steps):
-            self.random.choice(moves)()
-        self._drain_out()
+            self.random.choice(possible_steps)()
+        self._run_to_deadlines()
 
-    def _tell(self, event: api.Event) -> None:
+    def _handle(self, event: api.Event) -> None:
         self._check(event, self.balancer.handle(self.now, event))
 
-    def _arrive(self) -> None:
-        rnd = self.random
-        index = rnd.randrange(len(self.rules.classes))
-        kind = self.rules.classes[index]
-        left = rnd.choice([DEADLINE_NS, DEADLINE_NS // 2, MS])
+    def _accept_request(self) -> None:
+        random = self.random
+        index = random.randrange(len(self.rules.classes))
+        request_class = self.rules.classes[index]
+        remaining_ns = random.choice([DEADLINE_NS, DEADLINE_NS // 2, MS])
         request = api.Request(
-            len(self.taken) + 1,
-            left,
+            len(self.requests) + 1,
+            remaining_ns,
             index,
-            rnd.randrange(3),
-            rnd.choice([0, 1, 1, 2, 3, 99]),
-            rnd.random() < 0.2,
+            random.randrange(3),
+            random.choice([0, 1, 1, 2, 3, 99]),
+            random.random() < 0.2,
         )
-        self.taken[request.id] = _Taken(request, kind, self.now)
-        self._tell(request)
-        taken = self.taken[request.id]
-        if not taken.answered and not any(one.result is None for one in taken.tries) and not self.timers:
+        self.requests[request.id] = _AcceptedRequest(request, request_class, self.now)
+        self._handle(request)
+        accepted = self.requests[request.id]
+        if (
+            not accepted.answered
+            and not any(attempt.result is None for attempt in accepted.attempts)
+            and not self.timers
+        ):
             raise RuleBrokenError(
-                f"lost: request {request.id} is neither out nor answered, and no timer is set"
+                f"lost: request {request.id} is neither in flight nor answered, and no timer is set"
             )
 
-    def _outstanding(self) -> list[tuple[_Taken, int]]:
+    def _attempts_in_flight(self) -> list[tuple[_AcceptedRequest, int]]:
         return [
-            (taken, index)
-            for taken in self.taken.values()
-            for index, one in enumerate(taken.tries)
-            if one.result is None
+            (accepted, index)
+            for accepted in self.requests.values()
+            for index, attempt in enumerate(accepted.attempts)
+            if attempt.result is None
         ]
 
-    def _finish(self) -> None:
-        if out := self._outstanding():
-            taken, index = self.random.choice(out)
+    def _finish_attempt(self) -> None:
+        if in_flight := self._attempts_in_flight():
+            accepted, index = self.random.choice(in_flight)
             result = self.random.choice(
                 [
                     api.AttemptResult.OK,
@@ -227,69 +247,78 @@
                     api.AttemptResult.CANCELLED,
                 ]
             )
-            self._outcome(taken, index, result)
+            self._report_outcome(accepted, index, result)
 
-    def _outcome(self, taken: _Taken, index: int, result: api.AttemptResult) -> None:
-        one = taken.tries[index]
-        one.result = result
+    def _report_outcome(self, accepted: _AcceptedRequest, index: int, result: api.AttemptResult) -> None:
+        attempt = accepted.attempts[index]
+        attempt.result = result
         if result in (api.AttemptResult.TIMEOUT, api.AttemptResult.RESET, api.AttemptResult.CANCELLED):
-            taken.rests_until = self.now + self.rules.key_cooldown_ns
-        broke = taken.streaming == index and result is not api.AttemptResult.OK
-        if result is api.AttemptResult.OK or broke:
-            taken.answered = True
+            accepted.cooldown_until = self.now + self.rules.key_cooldown_ns
+        stream_failed = accepted.streaming_attempt == index and result is not api.AttemptResult.OK
+        if result is api.AttemptResult.OK or stream_failed:
+            accepted.answered = True
         report = tuple(self.random.random() for _ in self.rules.load_report_fields)
-        self._tell(
+        self._handle(
             api.AttemptOutcome(
-                taken.request.id, taken.answered, result, self.now - one.sent, one.server.id, index, report
+                accepted.request.id,
+                accepted.answered,
+                result,
+                self.now - attempt.sent,
+                attempt.server.id,
+                index,
+                report,
             )
         )
 
     def _begin_stream(self) -> None:
-        for taken, index in self._outstanding():
-            if self.streams and taken.streaming is None and not taken.answered:
-                taken.streaming = index  # from here no time-out and no deadline ends it
+        for accepted, index in self._attempts_in_flight():
+            if self.streams and accepted.streaming_attempt is None and not accepted.answered:
+                accepted.streaming_attempt = index  # neither its timeout nor the deadline ends it any more
                 return
 
-    def _leave(self) -> None:
-        if self.taken:
-            taken = self.random.choice(list(self.taken.values()))
-            taken.answered = True  # also for one that is closed already: to be ignored
-            self._tell(api.ClientDisconnected(taken.request.id))
+    def _disconnect_client(self) -> None:
+        if self.requests:
+            accepted = self.random.choice(list(self.requests.values()))
+            accepted.answered = True  # the balancer must ignore the event for a closed request
+            self._handle(api.ClientDisconnected(accepted.request.id))
 
     def _pass(self, span: int | None = None) -> None:
-        """Time passes: timers fall due and attempts reach their time-outs."""
+        """Advance the time by `span` or a random time, and deliver due timers and attempt timeouts."""
         end = self.now + (self.random.choice([MS, 20 * MS, 300 * MS, 2 * SECOND]) if span is None else span)
         while True:
             due = [(timer.at_ns, 0, timer.timer_id, 0) for timer in self.timers if timer.at_ns <= end]
-            for taken, index in self._outstanding():
-                if taken.streaming != index:
-                    one = taken.tries[index]
-                    at = min(taken.expires, one.sent + one.time_out if one.time_out else taken.expires)
+            for accepted, index in self._attempts_in_flight():
+                if accepted.streaming_attempt != index:
+                    attempt = accepted.attempts[index]
+                    at = min(
+                        accepted.expires_at,
+                        attempt.sent + attempt.timeout_ns if attempt.timeout_ns else accepted.expires_at,
+                    )
                     if at <= end:
-                        due.append((at, 1, taken.request.id, index))
+                        due.append((at, 1, accepted.request.id, index))
             if not due:
                 break
-            at, kind, name, index = min(due)
+            at, event_kind, name, index = min(due)
             self.now = max(self.now, at)
-            if kind == 0:
+            if event_kind == 0:
                 self.timers.remove(next(t for t in self.timers if (t.at_ns, t.timer_id) == (at, name)))
-                self._tell(api.TimerFired(name))
+                self._handle(api.TimerFired(name))
             else:
-                self._outcome(self.taken[name], index, api.AttemptResult.TIMEOUT)
+                self._report_outcome(self.requests[name], index, api.AttemptResult.TIMEOUT)
             self._check_overdue()
         self.now = end
         self._check_overdue()
 
-    def _list(self, kind: api.EndpointUpdateKind) -> None:
-        rnd = self.random
+    def _update_list(self, kind: api.EndpointUpdateKind) -> None:
+        random = self.random
         servers = []
-        for number in range(rnd.choice([0, 1, 2, 9, 9])):
-            state = rnd.choice([api.EndpointState.READY] * 5 + [api.EndpointState.DRAINING])
-            started = rnd.choice([0, 0, 0, self.now - SECOND, self.now])
+        for number in range(random.choice([0, 1, 2, 9, 9])):
+            state = random.choice([api.EndpointState.READY] * 5 + [api.EndpointState.DRAINING])
+            started = random.choice([0, 0, 0, self.now - SECOND, self.now])
             servers.append(server(number, state, started))
         if kind is api.EndpointUpdateKind.DELTA and servers:
-            servers = rnd.sample(servers, 1)
-            if rnd.random() < 0.3:
+            servers = random.sample(servers, 1)
+            if random.random() < 0.3:
                 servers[0] = servers[0]._replace(state=api.EndpointState.REMOVED)
         listed = {entry.id: entry for entry in servers}
         if kind is api.EndpointUpdateKind.DELTA:
@@ -297,39 +326,39 @@
         for name in {*self.listed, *listed}:
             ready = name in listed and listed[name].state is api.EndpointState.READY
             if ready:
-                self.stopped.pop(name, None)
+                self.not_ready_since.pop(name, None)
             else:
-                self.stopped.setdefault(name, self.now)
+                self.not_ready_since.setdefault(name, self.now)
         for name, entry in listed.items():
             if name not in self.listed or self.listed[name].started_at_ns != entry.started_at_ns:
-                self.before_start[name] = len(self.sends.get(name, ()))
+                self.sends_before_start[name] = len(self.send_times.get(name, ()))
         self.listed = {**self.listed, **listed}
-        self._tell(api.EndpointUpdate(kind, tuple(servers)))
+        self._handle(api.EndpointUpdate(kind, tuple(servers)))
 
     def _change_list(self) -> None:
         if self.rules.discovery_mode is api.DiscoveryMode.POLL:
-            if not self.asked:
-                return  # nothing is told to those that have not asked
+            if not self.watch_count:
+                return  # without a watch the balancer gets no updates
             if self.random.random() < 0.4:
-                self._tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
+                self._handle(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
                 return
-        self._list(
+        self._update_list(
             self.random.choice(
                 [api.EndpointUpdateKind.SNAPSHOT, api.EndpointUpdateKind.DELTA, api.EndpointUpdateKind.DELTA]
             )
         )
 
-    def _drain_out(self) -> None:
-        """Let all that is open run into its deadline; begun streams end well."""
-        for taken, index in self._outstanding():
-            if taken.streaming == index:
-                self._outcome(taken, index, api.AttemptResult.OK)
+    def _run_to_deadlines(self) -> None:
+        """Let all open requests reach their deadlines, and complete the streamed responses."""
+        for accepted, index in self._attempts_in_flight():
+            if accepted.streaming_attempt == index:
+                self._report_outcome(accepted, index, api.AttemptResult.OK)
         self._pass(DEADLINE_NS + MS)
-        for taken in self.taken.values():
-            if not taken.answered:
-                raise RuleBrokenError(f"lost: request {taken.request.id} was never answered")
+        for accepted in self.requests.values():
+            if not accepted.answered:
+                raise RuleBrokenError(f"lost: request {accepted.request.id} was never answered")
 
-    # The rules' side.
+    # Checks of the actions.
 
     def _check(self, event: api.Event | None, actions: list[api.Action]) -> None:
         self.log.append((event, actions))
@@ -337,115 +366,146 @@
             if isinstance(action, api.SetTimer):
                 self.timers.append(action)
             elif isinstance(action, api.WatchEndpoints):
-                self.asked += 1
+                self.watch_count += 1
                 if self.rules.discovery_mode is not api.DiscoveryMode.POLL:
-                    raise RuleBrokenError("malformed: a watch where the list is pushed")
+                    raise RuleBrokenError("malformed: a watch in a discovery mode other than polling")
             elif isinstance(action, api.CloseIdleConnections):
                 if action.endpoint_id not in self.listed:
-                    raise RuleBrokenError(f"malformed: {action} names a server never listed")
+                    raise RuleBrokenError(f"malformed: {action} names an endpoint that was never listed")
             else:
-                if action.request_id not in self.taken:
+                if action.request_id not in self.requests:
                     raise RuleBrokenError(f"malformed: {action} names an unknown request")
                 if isinstance(action, api.Forward):
-                    self._check_send(action)
+                    self._check_forward(action)
                 else:
                     self._check_answer(action)
 
     def _check_overdue(self) -> None:
-        for taken in self.taken.values():
-            if not taken.answered and taken.streaming is None and self.now > taken.expires:
-                raise RuleBrokenError(f"lost: request {taken.request.id} is unanswered past its deadline")
-
-    def _check_send(self, send: api.Forward) -> None:
-        taken = self.taken[send.request_id]
-        if taken.answered:
-            raise RuleBrokenError(f"lost: {send} comes after the final answer")
-        if send.endpoint_id not in self.listed:
-            raise RuleBrokenError(f"malformed: {send} goes to a server never listed")
-        target = self.listed[send.endpoint_id]
-        if send.endpoint_id in self.stopped and self.now > self.stopped[send.endpoint_id] + DRAIN_GRACE_NS:
-            raise RuleBrokenError(f"drain: {send} goes to a server told to be draining or gone")
-        if len(taken.tries) >= self.rules.max_attempts:
-            raise RuleBrokenError(f"duplicate: {send} is one attempt too many")
-        if any(one.result is None for one in taken.tries):
-            raise RuleBrokenError(f"duplicate: {send} is a second copy, which this module never sends")
-        for one in taken.tries:
-            if one.result not in api.NOT_EXECUTED and not self._may_repeat(taken, one, target):
-                raise RuleBrokenError(f"duplicate: {send} though {one.server} may have run it")
+        for accepted in self.requests.values():
+            if (
+                not accepted.answered
+                and accepted.streaming_attempt is None
+                and self.now > accepted.expires_at
+            ):
+                raise RuleBrokenError(f"lost: request {accepted.request.id} is unanswered past its deadline")
+
+    def _check_forward(self, forward: api.Forward) -> None:
+        accepted = self.requests[forward.request_id]
+        if accepted.answered:
+            raise RuleBrokenError(f"lost: {forward} comes after the final answer")
+        if forward.endpoint_id not in self.listed:
+            raise RuleBrokenError(f"malformed: {forward} is to an endpoint that was never listed")
+        target = self.listed[forward.endpoint_id]
+        if (
+            forward.endpoint_id in self.not_ready_since
+            and self.now > self.not_ready_since[forward.endpoint_id] + DRAIN_GRACE_NS
+        ):
+            raise RuleBrokenError(
+                f"drain: {forward} is to an endpoint that drains or is removed, after the grace"
+            )
+        if len(accepted.attempts) >= self.rules.max_attempts:
+            raise RuleBrokenError(f"duplicate: {forward} exceeds the maximum of attempts")
+        if any(attempt.result is None for attempt in accepted.attempts):
+            raise RuleBrokenError(f"duplicate: {forward} while an earlier attempt is in flight")
+        for attempt in accepted.attempts:
+            if attempt.result not in api.NOT_EXECUTED and not self._may_repeat(accepted, attempt, target):
+                raise RuleBrokenError(
+                    f"duplicate: {forward} though {attempt.server} may have executed the request"
+                )
             keyed = (
-                one.result not in api.NOT_EXECUTED
-                and taken.kind.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+                attempt.result not in api.NOT_EXECUTED
+                and accepted.request_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY
             )
             if (
                 keyed
-                and not self.now < send.write_deadline_ns < one.sent + taken.kind.deduplication_window_ns
+                and not self.now
+                < forward.write_deadline_ns
+                < attempt.sent + accepted.request_class.deduplication_window_ns
             ):
-                raise RuleBrokenError(f"duplicate: {send} may be written after {one.server} forgets its key")
-        taken.tries.append(_Try(target, self.now, send.timeout_ns))
-        self._check_order(taken, send)
-        self._check_cold(target)
-
-    def _check_order(self, taken: _Taken, send: api.Forward) -> None:
-        key = taken.request.key
-        if not taken.kind.ordered_by_key or not key:
+                raise RuleBrokenError(
+                    f"duplicate: {forward} may be written after the deduplication window of {attempt.server}"
+                )
+        accepted.attempts.append(_Attempt(target, self.now, forward.timeout_ns))
+        self._check_order(accepted, forward)
+        self._check_slow_start(target)
+
+    def _check_order(self, accepted: _AcceptedRequest, forward: api.Forward) -> None:
+        key = accepted.request.key
+        if not accepted.request_class.ordered_by_key or not key:
             return
-        for earlier in self.taken.values():
-            if earlier is taken:
+        for earlier in self.requests.values():
+            if earlier is accepted:
                 return
-            if earlier.kind.ordered_by_key and earlier.request.key == key:
-                if not earlier.answered or any(one.result is None for one in earlier.tries):
-                    raise RuleBrokenError(f"order: {send} while {earlier.request.id} of its key is not over")
-                if self.now < earlier.rests_until:
-                    raise RuleBrokenError(f"order: {send} while its key rests after {earlier.request.id}")
-
-    def _may_repeat(self, taken: _Taken, earlier: _Try, target: api.Endpoint) -> bool:
-        kind = taken.kind
-        if kind.idempotency is not api.Idempotency.IDEMPOTENCY_KEY:
-            return kind.idempotency is api.Idempotency.IDEMPOTENT
-        same = {
+            if earlier.request_class.ordered_by_key and earlier.request.key == key:
+                if not earlier.answered or any(attempt.result is None for attempt in earlier.attempts):
+                    raise RuleBrokenError(
+                        f"order: {forward} before request {earlier.request.id} of its key has ended"
+                    )
+                if self.now < earlier.cooldown_until:
+                    raise RuleBrokenError(
+                        f"order: {forward} during the key cooldown after request {earlier.request.id}"
+                    )
+
+    def _may_repeat(self, accepted: _AcceptedRequest, earlier: _Attempt, target: api.Endpoint) -> bool:
+        request_class = accepted.request_class
+        if request_class.idempotency is not api.Idempotency.IDEMPOTENCY_KEY:
+            return request_class.idempotency is api.Idempotency.IDEMPOTENT
+        same_scope = {
             api.DeduplicationScope.ALL: True,
             api.DeduplicationScope.ZONE: earlier.server.zone == target.zone,
             api.DeduplicationScope.CELL: earlier.server.cell == target.cell,
-        }[kind.deduplication_scope]
-        return taken.request.key != 0 and same and self.now - earlier.sent < kind.deduplication_window_ns
+        }[request_class.deduplication_scope]
+        return (
+            accepted.request.key != 0
+            and same_scope
+            and self.now - earlier.sent < request_class.deduplication_window_ns
+        )
 
     def _check_answer(self, answer: api.Reject | api.Fail) -> None:
-        taken = self.taken[answer.request_id]
-        if taken.answered:
+        accepted = self.requests[answer.request_id]
+        if accepted.answered:
             raise RuleBrokenError(f"lost: {answer} is a second final answer")
-        taken.answered = True
-        ran = [one for one in taken.tries if one.result not in api.NOT_EXECUTED]
-        kind = taken.kind
-        harmless = kind.idempotency is api.Idempotency.IDEMPOTENT or not ran
-        harmless |= (
-            kind.idempotency is api.Idempotency.IDEMPOTENCY_KEY
-            and kind.deduplication_scope is api.DeduplicationScope.ALL
+        accepted.answered = True
+        possibly_executed = [
+            attempt for attempt in accepted.attempts if attempt.result not in api.NOT_EXECUTED
+        ]
+        request_class = accepted.request_class
+        may_reject = request_class.idempotency is api.Idempotency.IDEMPOTENT or not possibly_executed
+        may_reject |= (
+            request_class.idempotency is api.Idempotency.IDEMPOTENCY_KEY
+            and request_class.deduplication_scope is api.DeduplicationScope.ALL
         )
         if isinstance(answer, api.Reject):
-            if not harmless:
-                raise RuleBrokenError(f"duplicate: {answer} though an attempt may have run")
+            if not may_reject:
+                raise RuleBrokenError(f"duplicate: {answer} though an attempt may have been executed")
             if answer.retry_after_ns > (self.rules.max_retry_after_ns if self.rules.sends_retry_after else 0):
-                raise RuleBrokenError(f"malformed: {answer} advises a wait that is not allowed")
+                raise RuleBrokenError(f"malformed: {answer} has a longer retry delay than the settings allow")
 
-    def _check_cold(self, target: api.Endpoint) -> None:
-        """A budget for any window, by what the busiest server was sent while warm in one of the same length.
+    def _check_slow_start(self, target: api.Endpoint) -> None:
+        """Check that an endpoint in slow start gets no more requests in any window than its capacity allows.
 
-        What a server took before it restarted shows the capacity that it warms up to.
+        The capacity is estimated by the highest number of requests in a window of the same length that any
+        endpoint got outside slow start, as the requests before a restart show the capacity after slow start.
         """
-        times = self.sends.setdefault(target.id, [])
+        times = self.send_times.setdefault(target.id, [])
         times.append(self.now)
         age = self.now - target.started_at_ns
         if not target.started_at_ns or age >= self.rules.slow_start_duration_ns:
-            self.warm_sends.setdefault(target.id, []).append(self.now)
+            self.warm_send_times.setdefault(target.id, []).append(self.now)
             return
-        warmth = (
+        capacity_ratio = (
             self.rules.slow_start_initial_ratio
             + (1 - self.rules.slow_start_initial_ratio) * age / self.rules.slow_start_duration_ns
         )
         span = OVERLOAD_WINDOW_NS
-        recent = sum(1 for at in times[self.before_start.get(target.id, 0) :] if at > self.now - span)
-        most = 0
-        for sent in self.warm_sends.values():
-            most = max([most, *(sum(1 for x in sent if at - span < x <= at) for at in sent)])
-        if recent > OVERLOAD_MULTIPLE * warmth * most + 3:  # two saved up and one earned
-            raise RuleBrokenError(f"cold: {recent} requests within {span} ns to {target}")
+        recent_sends = sum(
+            1 for at in times[self.sends_before_start.get(target.id, 0) :] if at > self.now - span
+        )
+        max_warm_sends = 0
+        for sent in self.warm_send_times.values():
+            max_warm_sends = max(
+                [max_warm_sends, *(sum(1 for x in sent if at - span < x <= at) for at in sent)]
+            )
+        # The 3 are two saved tokens and one earned.
+        if recent_sends > OVERLOAD_MULTIPLE * capacity_ratio * max_warm_sends + 3:
+            raise RuleBrokenError(f"cold: {recent_sends} requests within {span} ns to {target}")
