--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -44,7 +44,7 @@
     """Nodes of all zones with the same endpoint list, and requests with random keys."""
 
     def __init__(self, node_count: int, server_count: int, seed: int = 1) -> None:
-        """Start the nodes and give them the list."""
+        """Start the nodes and pass the list to them."""
         self.now_ns = START_NS
         self.forwarded: list[tuple[int, api.EndpointId]] = []  # time in ns, endpoint
         self._random = np.random.default_rng(seed)
--- a/scale/real/load.py
+++ b/scale/real/load.py
@@ -125,7 +125,7 @@
         self._in_flight_count = 0
 
     async def run(self) -> Sample:
-        """Run the plan to its end, abort what is unanswered then, and return the results."""
+        """Run the plan to its end, abort the connections, and return the results."""
         await asyncio.sleep(max(0.0, self._begin - monotonic()))
         if "rate" in self._plan:
             await self._run_open_loop(self._plan["rate"])
@@ -208,7 +208,7 @@
         if index < 0:
             return  # no request was in flight
         if not answered and not connection.is_unused:
-            # The node closed an idle connection while the request was on its way: send it on a new one.
+            # The node closed the idle connection while the request was on its way: send it on a new one.
             self._dial(index, connection.request)
             return
         self._record(index, connection.status if answered else 0)
--- a/scale/real/plan.py
+++ b/scale/real/plan.py
@@ -13,7 +13,7 @@
 FigureEntry = dict[str, Any]
 """One figure as `Report.add` writes it; `scale.loopback.measure` describes its keys."""
 
-SERVER_COUNT = 7200
+SERVER_COUNT = 7200  # of the service
 DISCOVERY_MACHINE_COUNT = 6  # machines reserved for control traffic
 DAY_SECONDS = 86_400.0
 CHANGES_PER_DAY = 3200  # of the endpoint list
--- a/scale/real/requests.py
+++ b/scale/real/requests.py
@@ -73,10 +73,10 @@
 
     response_ms: ResponseTimes  # of the requests through the node
     direct_ms: ResponseTimes  # of the requests that go to a stand-in server without the node
-    failed_ratio: float  # requests through the node without a 200 response
+    failed_ratio: float  # fraction of the requests through the node without a 200 response
     cpu_us_per_request: float  # processor time of the node
     core_ratio: float  # processor time of the node in relation to one core
-    cpu_wait_ratio: float  # of the time, for which the node waited for a core that other processes used
+    cpu_wait_ratio: float  # fraction of the time in which other processes used the core that the node needed
     dials_per_request: float  # connections that the node opened to servers
     open_connections: float  # to servers, at the end
     reached_servers: float  # distinct servers that got a request since the node's start
@@ -142,7 +142,7 @@
     """Start a node with a list of this size, and measure it under each condition.
 
     The list first stays as it is, and then changes; last, a closed loop sends requests as fast as they are
-    answered. Only one run at a time has its closed loop, under `saturation_lock`.
+    answered. `saturation_lock` lets only one run at a time execute its closed loop.
     """
     async with (
         running_servers(SERVICE_TIME_MS) as port,
--- a/scale/real/standins.py
+++ b/scale/real/standins.py
@@ -168,7 +168,8 @@
     def first_chunk(self, since_version: int) -> bytes:
         """Return the first line of a watch of a node that has a version of the list.
 
-        It is a delta if the agent still has all changes after that version, and otherwise a snapshot.
+        It is a delta if the agent knows that version and still has all later changes; otherwise it is a
+        snapshot.
         """
         if not self._oldest_version <= since_version <= self.version:
             return self.snapshot_chunk()
@@ -190,6 +191,7 @@
         self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport of the connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's class is not a subclass of it
 
     def data_received(self, data: bytes) -> None:
