--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -1,8 +1,8 @@
 """Admission control: the cap on attempts in flight for each class, and which requests are rejected.
 
-A cap is a number of attempts in flight at this node, of all classes together. Once the
-cap of a class is reached, further requests of this class are rejected. The circuit breaker of each class
-computes a threshold in the same unit. The cap of a class is the loss factor times the lowest of
+A cap is a number of attempts in flight at this node, of all classes together. Once the cap of a class is
+reached, further requests of this class are rejected. The circuit breaker of each class computes a threshold
+in the same unit. The cap of a class is the loss factor times the lowest of
 
 - its own threshold
 - the threshold of each class with more than HIGHER_PRIORITY_MULTIPLE times its priority
@@ -79,7 +79,7 @@
         ]
         """Circuit breakers by class index."""
         self.caps = [0.0] * len(settings.classes)
-        """By class index, the attempts of all classes in flight from which on its requests are rejected."""
+        """By class index, the number of attempts in flight (all classes) at which requests are rejected."""
 
     def admits(self, now_ns: int, request: api.Request) -> bool:
         """Return whether a request that has just arrived is admitted."""
@@ -120,9 +120,9 @@
         """Return the number of attempts in flight, without those that wait for their delayed release."""
         return self.in_flight.count - self._delayed_release_count
 
-    def typical_ns(self, class_index: int) -> float:
+    def typical_response_ns(self, class_index: int) -> float:
         """Return the typical response time of a class in ns."""
-        return self.breakers[class_index].typical_ns
+        return self.breakers[class_index].typical_response_ns
 
     def is_early_timeout(self, active: ActiveRequest, result: AttemptResult, elapsed_ns: int) -> bool:
         """Return whether an attempt timed out before an answer could be expected.
@@ -132,7 +132,7 @@
         if result is not AttemptResult.TIMEOUT:
             return False
         target_ns = TARGET_RATIO * active.request_class.latency_objective_ns
-        return elapsed_ns < min(self.typical_ns(active.request.class_index), target_ns)
+        return elapsed_ns < min(self.typical_response_ns(active.request.class_index), target_ns)
 
     def record_response(
         self, now_ns: int, active: ActiveRequest, attempt: AttemptRecord, elapsed_ns: int, is_retried: bool
@@ -152,7 +152,7 @@
         if attempt.result not in (AttemptResult.OK, AttemptResult.TIMEOUT):
             return
         is_answered = attempt.result is AttemptResult.OK
-        ratio = elapsed_ns / breaker.typical_ns
+        ratio = elapsed_ns / breaker.typical_response_ns
         status.waiting_time_ratio += RESPONSE_TIME_EWMA_WEIGHT * (ratio - status.waiting_time_ratio)
         if is_answered:
             status.response_time_ratio += RESPONSE_TIME_EWMA_WEIGHT * (ratio - status.response_time_ratio)
@@ -198,7 +198,7 @@
         weight = self._settings.classes[class_index].priority_weight
         if self._settings.weight_by_work:
             return weight
-        return weight / max(1.0, self.breakers[class_index].typical_ns)
+        return weight / max(1.0, self.breakers[class_index].typical_response_ns)
 
     def _release_delayed(self, class_index: int, status: EndpointStatus, now_ns: int) -> None:
         self._delayed_release_count -= 1
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -127,10 +127,10 @@
             self._hot_keys.record(request.key)
         else:
             self._subset.on_keyless_request()
-        useful_until_ns = now_ns + request.remaining_ns
+        answer_deadline_ns = now_ns + request.remaining_ns
         if not request_class.late_weight_ratio:
-            useful_until_ns = min(useful_until_ns, now_ns + request_class.latency_objective_ns)
-        active = ActiveRequest(request, request_class, useful_until_ns)
+            answer_deadline_ns = min(answer_deadline_ns, now_ns + request_class.latency_objective_ns)
+        active = ActiveRequest(request, request_class, answer_deadline_ns)
         is_ordered = request_class.ordered_by_key and request.key
         send = self._key_ordering.enqueue if is_ordered else self._send_first
         if not self._admission.admits(now_ns, request) or not send(now_ns, active):
@@ -185,7 +185,7 @@
     def _on_client_disconnected(self, now_ns: int, event: api.ClientDisconnected) -> None:
         active = self._active_requests.get(event.request_id)
         if active is not None:
-            active.useful_until_ns = now_ns
+            active.answer_deadline_ns = now_ns
             self._abandon_unsent(active, now_ns)
 
     def _end_window(self, now_ns: int) -> None:
@@ -223,7 +223,7 @@
 
     def _send(self, now_ns: int, active: ActiveRequest, status: EndpointStatus) -> None:
         idle_ns = self._connections.take_connection(now_ns, status)
-        timeout_ns = max(MIN_TIMEOUT_NS, active.useful_until_ns - now_ns)
+        timeout_ns = max(MIN_TIMEOUT_NS, active.answer_deadline_ns - now_ns)
         write_deadline_ns = active.write_deadline_ns()
         self._actions.emit(api.Forward(active.request.id, status.endpoint.id, timeout_ns, write_deadline_ns))
         active.attempts.append(AttemptRecord(status, now_ns, idle_ns))
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -81,7 +81,7 @@
     """Smoothed tail of the response times per attempt in flight; 0: not known."""
     proven_in_flight: float = 0.0
     """Highest number of attempts of all classes in flight that recently met the target."""
-    typical_ns: float = 0.0
+    typical_response_ns: float = 0.0
     """Smoothed median of the response times."""
     in_flight: InFlight = field(default_factory=InFlight)
     """Attempts of this class in flight."""
@@ -90,7 +90,7 @@
 
     def __post_init__(self) -> None:
         self.target_ns = TARGET_RATIO * self.latency_objective_ns
-        self.typical_ns = float(self.latency_objective_ns)
+        self.typical_response_ns = float(self.latency_objective_ns)
 
     def threshold(self, initial_threshold: float) -> float:
         """Return how many attempts in flight meet the target; `initial_threshold` before a first sample."""
@@ -104,7 +104,7 @@
             self.samples_ns.sort()
             tail_ns = max(MIN_TAIL_NS, self.samples_ns[int(TAIL_QUANTILE * (len(self.samples_ns) - 1))])
             median_ns = self.samples_ns[len(self.samples_ns) // 2]
-            self.typical_ns += (1 - SMOOTHING_FACTOR) * (median_ns - self.typical_ns)
+            self.typical_response_ns += (1 - SMOOTHING_FACTOR) * (median_ns - self.typical_response_ns)
             self._update_target(tail_ns, has_headroom)
             self._update_threshold(tail_ns, mean_in_flight, initial_threshold)
         self.samples_ns.clear()
--- a/moleport/policy/endpoint_registry.py
+++ b/moleport/policy/endpoint_registry.py
@@ -23,9 +23,7 @@
 from moleport.policy.state import EndpointStatus
 
 DEFAULT_WEIGHT = 1.0
-BULK_MULTIPLE = (
-    50  # if more than one in 50 endpoints is new, the list is sorted again; fewer are inserted one by one
-)
+BULK_MULTIPLE = 50  # the list is sorted if more than 1 / 50 is new, else new endpoints are inserted singly
 
 
 class EndpointRegistry:
--- a/moleport/policy/final_answers.py
+++ b/moleport/policy/final_answers.py
@@ -1,9 +1,10 @@
 """Final answers of requests that no endpoint has answered: they are rejected or failed.
 
 `Reject` promises the client that the request is safe to repeat, so it is used only if the request can't have
-been executed or a repeat would be recognised (`ActiveRequest.may_reject`). Otherwise the answer is `Fail`. A
-rejection tells the client to wait for the setting `max_retry_after_ns` before it retries. If a late answer
-still has value and the latency objective is shorter, it is the latency objective.
+been executed or a repeat would be recognised (`ActiveRequest.may_reject`). Otherwise the answer is `Fail`. If
+the setting `sends_retry_after` is on, a rejection tells the client to wait for the setting
+`max_retry_after_ns` before it retries, or for the latency objective if that is shorter and late answers still
+have value.
 """
 
 from __future__ import annotations
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -81,9 +81,8 @@
             digest = blake2b(name, digest_size=RANK_BYTES)
         self.rank = int.from_bytes(digest.digest(), "little")
         self.probe = 0  # index of its slot in the probe sequence
-        self.key_ratio = (
-            HASH_RATIO_SCALE  # fraction of the keys which probe its slot that it gets, times HASH_RATIO_SCALE
-        )
+        # Fraction of the keys which probe its slot that it gets, times HASH_RATIO_SCALE.
+        self.key_ratio = HASH_RATIO_SCALE
         self.value = value
 
     def slot(self, probe: int, mask: int) -> int:
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -30,9 +30,7 @@
 
     def __init__(self) -> None:
         """Create a tracker without any requests."""
-        self.fan_out: dict[
-            int, int
-        ] = {}  # by hot key: number of start positions, one less than its endpoints
+        self.fan_out: dict[int, int] = {}  # by hot key: number of start positions, its endpoints less one
         self._counts: dict[int, float] = {}  # by key; multiplied by the scale, like all counts below
         self._scale = 1.0  # weight of a new request
         self._total = 0.0
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -36,7 +36,7 @@
     """How the endpoint list reaches a node."""
 
     PUSH = "push"
-    """The node keeps a watch open; the module takes no part in it."""
+    """The node itself keeps a watch of the list open."""
     POLL = "poll"
     """The module decides when to poll for the list, and emits `WatchEndpoints`."""
 
--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -4,11 +4,11 @@
 wait in a queue until all requests before them are complete. A request is queued only if it can be sent in
 time:
 
-    max(now, cooldown) + open requests ahead * typical <= useful_until - typical
+    max(now, cooldown) + open requests ahead * typical <= answer_deadline - typical
 
 where `typical` is the typical response time of the class in ns. A queued request is open until its client has
 an answer or has disconnected. A request that fails this test is rejected at once. A request that has not been
-sent at the time `useful_until - typical` gets its final answer at that time. A request that is first in the
+sent at the time `answer_deadline - typical` gets its final answer at that time. The first request of the
 queue also needs capacity under the cap of its class.
 
 After an attempt that may still be running (time-out, reset or cancellation), the next request of the key
@@ -41,7 +41,7 @@
 
     requests: deque[ActiveRequest] = field(default_factory=deque)
     cooldown_until_ns: int = 0
-    """Time before which no request with this key is sent."""
+    """Time before which the next request with this key is not sent."""
 
 
 class KeyOrdering:
@@ -81,7 +81,7 @@
             if not self._send_first(now_ns, active):
                 return False
             queue = self._queues[key] = KeyQueue()
-        elif not self._add_to_queue(now_ns, active, queue):
+        elif not self._register_waiting(now_ns, active, queue):
             return False
         queue.requests.append(active)
         return True
@@ -99,11 +99,12 @@
         if active.request.key in self._queues:
             self._send_next(active.request.key, now_ns)
 
-    def _add_to_queue(self, now_ns: int, active: ActiveRequest, queue: KeyQueue) -> bool:
-        typical_ns = int(self._admission.typical_ns(active.request.class_index))
+    def _register_waiting(self, now_ns: int, active: ActiveRequest, queue: KeyQueue) -> bool:
+        """Set the timer for a request that has to wait; return False if it could not be sent in time."""
+        typical_response_ns = int(self._admission.typical_response_ns(active.request.class_index))
         open_ahead_count = sum(1 for other in queue.requests if not other.is_closed)
-        latest_ns = active.useful_until_ns - typical_ns
-        if max(now_ns, queue.cooldown_until_ns) + open_ahead_count * typical_ns > latest_ns:
+        latest_ns = active.answer_deadline_ns - typical_response_ns
+        if max(now_ns, queue.cooldown_until_ns) + open_ahead_count * typical_response_ns > latest_ns:
             return False
         self._active_requests[active.request.id] = active
         self._deferred.defer(latest_ns, partial(self._abandon_unsent, active))
--- a/moleport/policy/load_reports.py
+++ b/moleport/policy/load_reports.py
@@ -29,7 +29,7 @@
         self._total_units = 0  # an integer number of units, as sums of integers have no rounding error
 
     def has_headroom(self, ready_count: int) -> bool:
-        """Return whether the mean reported utilization of the ready endpoints is low."""
+        """Return whether endpoints report their utilization and the mean of the ready ones is low."""
         return (
             self._has_utilization
             and self._total_units < HEADROOM_UTILIZATION_RATIO * ready_count * UTILIZATION_UNITS
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -16,8 +16,9 @@
 failed, at least OUTLIER_MULTIPLE times the failure rate of the whole fleet. At most MAX_EJECTED_RATIO of the
 ready endpoints are ejected at once, or MAX_UNREACHABLE_RATIO if the connection failed. At this limit, an
 endpoint replaces the ejected one with the lowest failure rate if its own is higher by more than
-REPLACEMENT_MARGIN_RATE. So in a fleet of fewer than four ready endpoints only failed connections eject. A
-failed connection does not count if the endpoint has had a success within MAX_SILENCE_NS.
+REPLACEMENT_MARGIN_RATE. So in a fleet of two or three ready endpoints only failed connections eject, and a
+single ready endpoint is never ejected. A failed connection does not count if the endpoint has had a success
+within MAX_SILENCE_NS.
 
     doublings = min(failed trials, MAX_EJECTION_DOUBLINGS)
     ejection = max(EJECTION_NS * 2 ** doublings, min(silence, MAX_SILENCE_EJECTION_NS)) * uniform(0.5, 1)
--- a/moleport/policy/retries.py
+++ b/moleport/policy/retries.py
@@ -42,9 +42,9 @@
 
     def may_retry(self, now_ns: int, active: ActiveRequest, result: AttemptResult) -> bool:
         """Return whether a request without attempts in flight may be sent again."""
-        remaining_ns = active.useful_until_ns - now_ns
-        typical_ns = self._admission.typical_ns(active.request.class_index)
-        if remaining_ns <= MIN_REMAINING_MULTIPLE * typical_ns:
+        remaining_ns = active.answer_deadline_ns - now_ns
+        typical_response_ns = self._admission.typical_response_ns(active.request.class_index)
+        if remaining_ns <= MIN_REMAINING_MULTIPLE * typical_response_ns:
             return False
         if len(active.attempts) >= self._max_attempts:
             return False
--- a/moleport/policy/state.py
+++ b/moleport/policy/state.py
@@ -92,7 +92,7 @@
 
     request: api.Request
     request_class: api.RequestClass
-    useful_until_ns: int
+    answer_deadline_ns: int
     """Time after which an answer has no value; the node does not wait for it any longer."""
     attempts: list[AttemptRecord] = field(default_factory=list)
     is_closed: bool = False
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""Unit tests of each mechanism of the policy, on events made by hand."""
+"""Tests of each mechanism of the decision module, with events that the test generates."""
 
 from __future__ import annotations
 
@@ -14,166 +14,175 @@
 from moleport.policy.state import REPEAT_TRANSIT_NS
 
 
-def window(node: Node, count: int, elapsed: int, class_index: int = 0) -> None:
-    """Serve requests with one response time, in flight for 300 ms, up to the end of the window."""
-    sends = [node.ask(class_index, key)[0] for key in range(1, count + 1)]
+def serve_window(node: Node, count: int, elapsed: int, class_index: int = 0) -> None:
+    """Serve requests that are in flight for 300 ms and report one response time, and end the window."""
+    forwards = [node.ask(class_index, key)[0] for key in range(1, count + 1)]
     node.wait(300 * MS)
-    for send in sends:
-        if isinstance(send, api.Forward):
-            node.end(send, AttemptResult.OK, elapsed)
+    for forward in forwards:
+        if isinstance(forward, api.Forward):
+            node.end(forward, AttemptResult.OK, elapsed)
     node.wait(300 * MS)
 
 
-def admitted(node: Node, count: int = 400, class_index: int = 0) -> int:
-    """Return how many of the requests that arrive at once are admitted."""
+def count_admitted(node: Node, count: int = 400, class_index: int = 0) -> int:
+    """Return how many of `count` simultaneous requests are admitted."""
     return sum(isinstance(node.ask(class_index, 10_000 + n)[0], api.Forward) for n in range(count))
 
 
-def quieten(node: Node) -> None:
-    """Send enough other requests that no key of the test is a hot key."""
+def avoid_hot_keys(node: Node) -> None:
+    """Serve so many requests with other keys that no key of the test is a hot key."""
     for key in 2 * list(range(100, 136)):
         node.serve(key)
 
 
-def one_class(latency_objective_ns: int = SECOND, **changes: object) -> api.Settings:
-    kind = api.RequestClass(latency_objective_ns, 1.0, 0.5, api.Idempotency.IDEMPOTENT)
-    return settings(classes=(kind,), **changes)
+def one_class_settings(latency_objective_ns: int = SECOND, **changes: object) -> api.Settings:
+    request_class = api.RequestClass(latency_objective_ns, 1.0, 0.5, api.Idempotency.IDEMPOTENT)
+    return settings(classes=(request_class,), **changes)
 
 
 # Discovery polling.
 
 
-def asking(seed: int = 1, poll_interval_ns: int = 60 * SECOND) -> Node:
-    """Return a node that has started with a cached list and polls for changes."""
-    asked = settings(discovery_mode=api.DiscoveryMode.POLL, poll_interval_ns=poll_interval_ns)
-    return Node(asked, seed=seed, kind=api.EndpointUpdateKind.CACHED)
+def polling_node(seed: int = 1, poll_interval_ns: int = 60 * SECOND) -> Node:
+    """Return a node in discovery mode `poll` that has started with a cached list."""
+    poll_settings = settings(discovery_mode=api.DiscoveryMode.POLL, poll_interval_ns=poll_interval_ns)
+    return Node(poll_settings, seed=seed, kind=api.EndpointUpdateKind.CACHED)
 
 
-def next_call(node: Node) -> int:
-    """Return the time of the next call for the list, in ns."""
+def wait_for_poll(node: Node) -> int:
+    """Wait for the next poll of the list, and return its time in ns."""
     while not any(isinstance(action, api.WatchEndpoints) for action in node.wait(10 * MS)):
         assert node.now < START + 1000 * SECOND
     return node.now
 
 
-@pytest.mark.parametrize("hangs", [0, 300 * MS, 2 * SECOND, 2500 * MS])
-def test_failed_call_backoff_and_next_call_fit_into_the_notification_limit(hangs: int) -> None:
-    """A change that a failed call just missed has to be notified within 6 s.
+@pytest.mark.parametrize("poll_duration_ns", [0, 300 * MS, 2 * SECOND, 2500 * MS])
+def test_failed_poll_backoff_and_next_poll_fit_into_the_notification_limit(poll_duration_ns: int) -> None:
+    """Guards against a late notification of a change that occurs right after a failed poll has begun.
 
-    The next call may take 2.5 s of them, so the backoff has to leave that time.
+    The limit is 6 s. The next poll may last 2.5 s of them, so the backoff has to leave that time.
     """
     pauses = set()
     for seed in range(20):
-        node = asking(seed)
-        begun = next_call(node)
+        node = polling_node(seed)
+        polled_at_ns = wait_for_poll(node)
         for _ in range(8):
-            node.wait(hangs)
+            node.wait(poll_duration_ns)
             node.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
-            failed, begun_before = node.now, begun
-            begun = next_call(node)
-            assert begun - begun_before <= 3500 * MS
-            pauses.add(begun - failed)
-    assert min(pauses) >= 100 * MS and len(pauses) > 10  # none at once, and not alike on all nodes
+            failed_at_ns, previous_polled_at_ns = node.now, polled_at_ns
+            polled_at_ns = wait_for_poll(node)
+            assert polled_at_ns - previous_polled_at_ns <= 3500 * MS
+            pauses.add(polled_at_ns - failed_at_ns)
+    assert min(pauses) >= 100 * MS and len(pauses) > 10  # no poll follows at once, and nodes differ
 
 
 def test_broken_watch_is_reopened_within_the_notification_limit() -> None:
     for seed in range(50):
-        node = asking(seed)
-        next_call(node)
+        node = polling_node(seed)
+        wait_for_poll(node)
         node.tell(whole(server(1)))
         node.wait(60 * SECOND)
-        broken = node.now - 3 * SECOND  # it was silent for so long before it counted as broken
+        silent_since_ns = node.now - 3 * SECOND  # a watch is silent for 3 s before it counts as broken
         node.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
-        assert next_call(node) - broken + 2500 * MS <= 6 * SECOND
+        assert wait_for_poll(node) - silent_since_ns + 2500 * MS <= 6 * SECOND
 
 
 def test_first_poll_leaves_time_for_its_answer() -> None:
-    """A node polls within half of the interval after its start."""
-    firsts = set()
+    """Guards against a first poll so late that its answer exceeds the notification limit."""
+    first_poll_delays_ns = set()
     for seed in range(50):
-        node = asking(seed)
-        firsts.add(next_call(node) - START)
-    assert max(firsts) <= 3500 * MS and max(firsts) - min(firsts) > SECOND  # spread over the fleet
+        node = polling_node(seed)
+        first_poll_delays_ns.add(wait_for_poll(node) - START)
+    # The nodes of a fleet poll at different times.
+    assert (
+        max(first_poll_delays_ns) <= 3500 * MS
+        and max(first_poll_delays_ns) - min(first_poll_delays_ns) > SECOND
+    )
 
 
-# The breaker.
+# Circuit breaker and admission.
 
 
 def test_new_node_admits_its_initial_cap_and_rejects_the_next_request() -> None:
-    node = Node(one_class(), servers=6)
-    assert admitted(node) == 76  # the cap of 60 and two roots of it, while the mean is below
-    (refusal,) = node.ask(0, 1)
-    assert isinstance(refusal, api.Reject)
-    assert 0 < refusal.retry_after_ns <= 2 * SECOND
+    node = Node(one_class_settings(), servers=6)
+    assert count_admitted(node) == 76  # the cap of 60 plus 2 * sqrt(60), while the mean is below the cap
+    (rejection,) = node.ask(0, 1)
+    assert isinstance(rejection, api.Reject)
+    assert 0 < rejection.retry_after_ns <= 2 * SECOND
 
 
 def test_retry_after_is_the_objective_only_where_late_answers_have_value() -> None:
-    """Clients that return after the objective, when no answer has value, only add load."""
-    for retry_after in (True, False):
-        node = Node(settings(sends_retry_after=retry_after), servers=0)
-        waits = [node.ask(class_index)[0].retry_after_ns for class_index in range(3)]  # type: ignore[union-attr]
-        assert waits == ([2 * SECOND, KEYED.latency_objective_ns, 2 * SECOND] if retry_after else [0, 0, 0])
+    """Guards against client retries after the objective, which only add load if late answers are useless."""
+    for is_enabled in (True, False):
+        node = Node(settings(sends_retry_after=is_enabled), servers=0)
+        retry_afters_ns = [node.ask(class_index)[0].retry_after_ns for class_index in range(3)]  # type: ignore[union-attr]
+        assert retry_afters_ns == (
+            [2 * SECOND, KEYED.latency_objective_ns, 2 * SECOND] if is_enabled else [0, 0, 0]
+        )
 
 
 def test_response_times_above_the_target_lower_the_cap() -> None:
-    node = Node(one_class(), servers=6)
+    node = Node(one_class_settings(), servers=6)
     for _ in range(4):
-        window(node, 30, 3 * SECOND)
-    assert admitted(node) < 20
+        serve_window(node, 30, 3 * SECOND)
+    assert count_admitted(node) < 20
 
 
 def test_quiet_window_does_not_lower_the_cap() -> None:
-    node = Node(one_class(), servers=6)
+    node = Node(one_class_settings(), servers=6)
     for _ in range(10):
-        window(node, 1, 300 * MS)
-    assert admitted(node) == 76
+        serve_window(node, 1, 300 * MS)
+    assert count_admitted(node) == 76
 
 
 def test_windows_within_the_target_raise_the_cap() -> None:
-    node = Node(one_class(), servers=6)
+    node = Node(one_class_settings(), servers=6)
     for _ in range(6):
-        window(node, 400, 100 * MS)
-    assert admitted(node) > 60
+        serve_window(node, 400, 100 * MS)
+    assert count_admitted(node) > 60
 
 
-def test_cap_keeps_half_of_the_proven_in_flight_when_all_endpoints_turn_slow() -> None:
-    node = Node(one_class(), servers=6)
+def test_cap_is_at_least_half_of_the_proven_in_flight_when_all_endpoints_become_slow() -> None:
+    node = Node(one_class_settings(), servers=6)
     for _ in range(3):
-        window(node, 60, 100 * MS)
+        serve_window(node, 60, 100 * MS)
     for _ in range(40):
-        window(node, 60, 3 * SECOND)
-    assert admitted(node) >= 5
+        serve_window(node, 60, 3 * SECOND)
+    assert count_admitted(node) >= 5
 
 
 def test_timeout_is_sampled_as_longer_than_it_lasted() -> None:
-    node = Node(one_class(), servers=6)
-    sends = [node.ask(0, key)[0] for key in range(30)]
+    node = Node(one_class_settings(), servers=6)
+    forwards = [node.ask(0, key)[0] for key in range(30)]
     node.wait(300 * MS)
-    for send in sends:
-        assert isinstance(send, api.Forward)
-        node.end(send, AttemptResult.TIMEOUT, 580 * MS)  # under the target, but twice that is not
+    for forward in forwards:
+        assert isinstance(forward, api.Forward)
+        # The time is below the target, but twice the time is above it.
+        node.end(forward, AttemptResult.TIMEOUT, 580 * MS)
     node.wait(300 * MS)
-    assert admitted(node) < 30
+    assert count_admitted(node) < 30
 
 
 def test_higher_priority_class_is_not_crowded_out_by_a_higher_cap_of_a_lower_one() -> None:
-    """The class with more work a request misses its objective first, and may have the higher priority."""
+    """A class with more work per request misses its objective first, and may have the higher priority."""
     light = api.RequestClass(2 * SECOND, 8.0, 0.0, api.Idempotency.IDEMPOTENT)
     heavy = api.RequestClass(SECOND, 10.0, 0.0, api.Idempotency.IDEMPOTENT)
     node = Node(settings(classes=(light, heavy), weight_by_work=True), servers=6)
     for _ in range(6):
-        window(node, 30, 3 * SECOND, class_index=1)
-    assert admitted(node, class_index=0) < 20
+        serve_window(node, 30, 3 * SECOND, class_index=1)
+    assert count_admitted(node, class_index=0) < 20
 
 
-def test_timed_out_attempts_count_as_in_flight_for_their_duration_again() -> None:
-    """Endpoints may go on with requests that have timed out."""
+def test_timed_out_attempts_stay_in_flight_for_as_long_as_they_lasted() -> None:
+    """Guards against overload by endpoints that continue to work on requests which have timed out."""
     node = Node(
         settings(classes=(api.RequestClass(SECOND, 1.0, 0.5, api.Idempotency.NOT_IDEMPOTENT),)), servers=6
     )
-    sends = [node.ask(0, key)[0] for key in range(1, 77)]
-    for send in {send.endpoint_id: send for send in sends if isinstance(send, api.Forward)}.values():
-        node.end(send, AttemptResult.TIMEOUT, 100 * MS)
+    forwards = [node.ask(0, key)[0] for key in range(1, 77)]
+    for forward in {
+        forward.endpoint_id: forward for forward in forwards if isinstance(forward, api.Forward)
+    }.values():
+        node.end(forward, AttemptResult.TIMEOUT, 100 * MS)
     assert isinstance(node.ask(0, 77)[0], api.Reject)
     node.now += 110 * MS
     assert isinstance(node.ask(0, 77)[0], api.Forward)
@@ -188,55 +197,55 @@
 
 def test_higher_priority_class_is_admitted_after_the_lower_one_is_shed() -> None:
     node = Node(settings(classes=(SAFE, UNSAFE), weight_by_work=True), servers=6)
-    assert admitted(node, class_index=0) == 62
+    assert count_admitted(node, class_index=0) == 62
     assert isinstance(node.ask(1, 1)[0], api.Forward)
 
 
 def test_timeouts_of_unreachable_endpoints_do_not_lower_the_cap() -> None:
-    """When a zone is cut off, its attempts time out seconds later; that is no sign of load."""
-    node = Node(one_class(), servers=12)
-    silent = server(0).id
-    waiting = []
+    """A network partition makes attempts time out seconds later, which is not a sign of load."""
+    node = Node(one_class_settings(), servers=12)
+    unreachable_id = server(0).id
+    forwards = []
     for key in range(1, 200):
-        (send,) = node.ask(0, key)
-        assert isinstance(send, api.Forward)
-        if send.endpoint_id == silent:
-            waiting.append(send)
+        (forward,) = node.ask(0, key)
+        assert isinstance(forward, api.Forward)
+        if forward.endpoint_id == unreachable_id:
+            forwards.append(forward)
         else:
-            node.end(send, AttemptResult.OK)
-        if len(waiting) == 8:
+            node.end(forward, AttemptResult.OK)
+        if len(forwards) == 8:
             break
-    for send in waiting[:4]:
-        node.end(send, AttemptResult.CONNECT_FAILED)
+    for forward in forwards[:4]:
+        node.end(forward, AttemptResult.CONNECT_FAILED)
     node.wait(SECOND)
-    for send in waiting[4:]:
-        node.end(send, AttemptResult.TIMEOUT, 4 * SECOND)
+    for forward in forwards[4:]:
+        node.end(forward, AttemptResult.TIMEOUT, 4 * SECOND)
     node.wait(SECOND)
-    assert admitted(node) >= 55
+    assert count_admitted(node) >= 55
 
 
 def test_few_slow_endpoints_do_not_lower_the_cap() -> None:
-    """The response times of some slow endpoints must not shed load that the others can carry."""
-    node = Node(one_class(latency_objective_ns=200 * MS), servers=8)
-    slow = sorted(node.balancer._endpoints.by_id)[:3]
-    for turn in range(30):
-        sends = [send for key in range(30) for send in node.ask(0, 1 + 30 * turn + key)]
-        for among_slow, elapsed in ((False, 15 * MS), (True, 15 * MS if turn < 6 else 190 * MS)):
+    """Guards against load shedding due to a few slow endpoints while the others have capacity."""
+    node = Node(one_class_settings(latency_objective_ns=200 * MS), servers=8)
+    slow_ids = sorted(node.balancer._endpoints.by_id)[:3]
+    for round_number in range(30):
+        forwards = [forward for key in range(30) for forward in node.ask(0, 1 + 30 * round_number + key)]
+        for is_slow, elapsed in ((False, 15 * MS), (True, 15 * MS if round_number < 6 else 190 * MS)):
             node.wait(elapsed)
-            for send in sends:
-                if isinstance(send, api.Forward) and (send.endpoint_id in slow) is among_slow:
-                    node.end(send, AttemptResult.OK, elapsed)
+            for forward in forwards:
+                if isinstance(forward, api.Forward) and (forward.endpoint_id in slow_ids) is is_slow:
+                    node.end(forward, AttemptResult.OK, elapsed)
         node.wait(300 * MS)
     assert not any(status.ejected_until_ns for status in node.balancer._endpoints.ready)
-    assert admitted(node) >= 30
+    assert count_admitted(node) >= 30
 
 
-def test_all_endpoints_turning_slow_lower_the_cap() -> None:
-    """An endpoint is slow only in comparison with the typical response time of all."""
-    node = Node(one_class(latency_objective_ns=200 * MS), servers=8)
+def test_the_cap_falls_when_all_endpoints_become_slow() -> None:
+    """If all endpoints are slow, none is slow compared with the typical response time, so all are sampled."""
+    node = Node(one_class_settings(latency_objective_ns=200 * MS), servers=8)
     for elapsed in [15 * MS] * 4 + [500 * MS] * 12:
-        window(node, 30, elapsed)
-    assert admitted(node) < 30
+        serve_window(node, 30, elapsed)
+    assert count_admitted(node) < 30
 
 
 def test_response_time_of_zero_is_accepted() -> None:
@@ -247,100 +256,103 @@
 
 
 def test_burst_above_the_cap_is_admitted_while_the_mean_is_below_it() -> None:
-    """With hundreds of nodes a cap is near one, and chance puts two or three requests together."""
-    node = Node(one_class(node_count=120), servers=12)  # a cap of one
-    sends = [node.ask(0, key)[0] for key in range(1, 5)]
-    assert [isinstance(send, api.Forward) for send in sends] == [True, True, True, False]
+    """With hundreds of nodes a cap is near one, and two or three requests arrive together by chance."""
+    node = Node(one_class_settings(node_count=120), servers=12)  # 10 * 12 / 120: a cap of one
+    forwards = [node.ask(0, key)[0] for key in range(1, 5)]
+    assert [isinstance(forward, api.Forward) for forward in forwards] == [True, True, True, False]
     node.wait(2 * SECOND)
-    for send in sends[:2]:
-        assert isinstance(send, api.Forward)
-        node.end(send, AttemptResult.OK)
-    assert isinstance(node.ask(0, 9)[0], api.Reject)  # two were out on average
+    for forward in forwards[:2]:
+        assert isinstance(forward, api.Forward)
+        node.end(forward, AttemptResult.OK)
+    assert isinstance(node.ask(0, 9)[0], api.Reject)  # the mean of attempts in flight was two
 
 
-def test_cap_below_one_is_kept() -> None:
-    """A minimum of one request for each class and node would exceed what few endpoints can carry."""
-    node = Node(one_class(node_count=600), servers=12)
-    (send,) = node.ask(0, 1)
-    assert isinstance(send, api.Forward)
+def test_cap_below_one_is_not_raised_to_one() -> None:
+    """Guards against a minimum of one request per class and node, which would overload a few endpoints."""
+    node = Node(one_class_settings(node_count=600), servers=12)
+    (forward,) = node.ask(0, 1)
+    assert isinstance(forward, api.Forward)
     node.now += 400 * MS
-    node.end(send, AttemptResult.OK, 400 * MS)
-    assert isinstance(node.ask(0, 2)[0], api.Reject)  # more than a tenth was out on average
+    node.end(forward, AttemptResult.OK, 400 * MS)
+    assert isinstance(node.ask(0, 2)[0], api.Reject)  # the mean of attempts in flight was above a tenth
     node.now += 3 * SECOND
     assert isinstance(node.ask(0, 3)[0], api.Forward)
 
 
-@pytest.mark.parametrize(("report", "least", "most"), [(0.3, 30, 400), (1.0, 1, 29)])
+@pytest.mark.parametrize(("utilization", "min_admitted", "max_admitted"), [(0.3, 30, 400), (1.0, 1, 29)])
 def test_idle_fleet_keeps_the_cap_unless_the_objective_is_missed(
-    report: float, least: int, most: int
+    utilization: float, min_admitted: int, max_admitted: int
 ) -> None:
-    """A class's own long requests may exceed the target without any load."""
-    node = Node(one_class(load_report_fields=("utilization",)), servers=6)
-    window(node, 10, 200 * MS)
+    """Requests of a class may take longer than the target without any load."""
+    node = Node(one_class_settings(load_report_fields=("utilization",)), servers=6)
+    serve_window(node, 10, 200 * MS)
     for _ in range(6):
-        sends = [node.ask(0, key)[0] for key in range(1, 31)]
+        forwards = [node.ask(0, key)[0] for key in range(1, 31)]
         node.wait(300 * MS)
-        for send in sends:
-            if isinstance(send, api.Forward):
-                node.end(send, AttemptResult.OK, 900 * MS, (report,))
+        for forward in forwards:
+            if isinstance(forward, api.Forward):
+                node.end(forward, AttemptResult.OK, 900 * MS, (utilization,))
         node.wait(300 * MS)
-    assert least <= admitted(node) <= most
+    assert min_admitted <= count_admitted(node) <= max_admitted
 
 
 def test_client_retries_are_shed_at_half_of_the_cap() -> None:
-    node = Node(one_class(), servers=6)
-    assert admitted(node, 41) == 41  # half of 60, and two roots of that
-    retry = api.Request(9999, SECOND, 0, 0, 7, True)
-    assert isinstance(node.tell(retry)[0], api.Reject)
+    node = Node(one_class_settings(), servers=6)
+    assert count_admitted(node, 41) == 41  # half of 60 plus 2 * sqrt(30)
+    client_retry = api.Request(9999, SECOND, 0, 0, 7, True)
+    assert isinstance(node.tell(client_retry)[0], api.Reject)
     assert isinstance(node.ask(0, 7)[0], api.Forward)
 
 
 def test_tenant_over_quota_is_shed_before_the_others() -> None:
-    node = Node(one_class(tenants=(api.Tenant(0.5), api.Tenant(0.5))), servers=6)
-    surge = [node.tell(api.Request(5000 + n, SECOND, 0, 0, 100 + n, False))[0] for n in range(60)]
-    assert sum(isinstance(action, api.Forward) for action in surge) == 41
+    node = Node(one_class_settings(tenants=(api.Tenant(0.5), api.Tenant(0.5))), servers=6)
+    actions = [node.tell(api.Request(5000 + n, SECOND, 0, 0, 100 + n, False))[0] for n in range(60)]
+    assert sum(isinstance(action, api.Forward) for action in actions) == 41
     assert isinstance(node.tell(api.Request(6000, SECOND, 0, 1, 3, False))[0], api.Forward)
 
 
 def test_rejections_make_a_key_prefer_its_other_endpoint() -> None:
-    """Few requests in flight may mean an idle endpoint or one that rejects at once."""
+    """An endpoint with few requests in flight may be idle, or may reject all requests at once."""
     node = Node()
-    quieten(node)
-    home = node.serve(42)
-    (send,) = node.ask(0, 42)
-    assert isinstance(send, api.Forward)
-    (again,) = node.end(send, AttemptResult.REJECTED)
-    assert isinstance(again, api.Forward)
-    node.end(again, AttemptResult.OK)
-    assert node.serve(42) == again.endpoint_id != home
-    node.wait(60 * SECOND)  # the news is old
-    assert node.serve(42) == home
+    avoid_hot_keys(node)
+    preferred_id = node.serve(42)
+    (forward,) = node.ask(0, 42)
+    assert isinstance(forward, api.Forward)
+    (retry,) = node.end(forward, AttemptResult.REJECTED)
+    assert isinstance(retry, api.Forward)
+    node.end(retry, AttemptResult.OK)
+    assert node.serve(42) == retry.endpoint_id != preferred_id
+    node.wait(60 * SECOND)  # the rejection rate has decayed
+    assert node.serve(42) == preferred_id
 
 
-# The choice.
+# Selection of endpoints.
 
 
-def test_endpoints_that_reject_one_class_still_get_the_others() -> None:
-    """Fast rejections look like low load, attract the class, and would close its breaker."""
+def test_endpoints_that_reject_one_class_still_get_other_classes() -> None:
+    """Guards against rejections that look like low load, attract the class and close its circuit breaker."""
     node = Node(servers=6)
-    closed = {server(number).id for number in range(3)}
+    rejecting_ids = {server(number).id for number in range(3)}
     for status in node.balancer._endpoints.by_id.values():
-        status.in_flight += 8 * (status.endpoint.id not in closed)
-    full = Counter[int]()
-    for turn in range(40):
+        status.in_flight += 8 * (status.endpoint.id not in rejecting_ids)
+    rejections_by_round = Counter[int]()
+    for round_number in range(40):
         for key in range(1, 7):
-            sends = [one for one in node.ask(0, key) if isinstance(one, api.Forward)]
-            while sends and sends[0].endpoint_id in closed:
-                full[turn] += 1
-                sends = [
-                    one for one in node.end(sends[0], AttemptResult.REJECTED) if isinstance(one, api.Forward)
+            forwards = [action for action in node.ask(0, key) if isinstance(action, api.Forward)]
+            while forwards and forwards[0].endpoint_id in rejecting_ids:
+                rejections_by_round[round_number] += 1
+                forwards = [
+                    action
+                    for action in node.end(forwards[0], AttemptResult.REJECTED)
+                    if isinstance(action, api.Forward)
                 ]
-            if sends:
-                node.end(sends[0], AttemptResult.OK)
+            if forwards:
+                node.end(forwards[0], AttemptResult.OK)
         node.now += 10 * MS
-    assert full
-    assert not any(full[turn] for turn in range(30, 40))
-    assert {node.serve(key, class_index=1) for key in range(1, 40)} >= closed  # good for another class
+    assert rejections_by_round
+    assert not any(rejections_by_round[round_number] for round_number in range(30, 40))
+    # Other classes still use the endpoints.
+    assert {node.serve(key, class_index=1) for key in range(1, 40)} >= rejecting_ids
 
 
 def test_key_stays_with_its_first_endpoint_while_loads_are_equal() -> None:
@@ -376,7 +388,7 @@
 
 
 def test_hot_key_is_detected_by_a_node_with_little_traffic() -> None:
-    """With hundreds of nodes, each sees a popular key once a second at most."""
+    """With hundreds of nodes, each node gets a popular key at most once per second."""
     node = Node(servers=60)
     for n in range(90):
         node.serve(42 if n % 6 == 0 else 1000 + n)
@@ -385,7 +397,7 @@
 
 
 def test_keys_counted_without_endpoints_cause_no_error_later() -> None:
-    """A fan-out of 0 endpoints must not be drawn from."""
+    """Guards against a random draw from a fan-out of 0 endpoints."""
     node = Node(servers=0)
     for _ in range(3):
         node.ask(0, 42)
@@ -403,47 +415,47 @@
     node = Node(servers=20)
     before = {key: node.serve(key) for key in range(1, 501)}
     node.tell(whole(*(server(number) for number in range(19))))
-    moved = [key for key in before if node.serve(key) != before[key]]
-    lost = [key for key in before if before[key] == server(19).id]
-    assert set(lost) <= set(moved)
-    assert len(moved) < len(lost) + 100
+    moved_keys = [key for key in before if node.serve(key) != before[key]]
+    lost_keys = [key for key in before if before[key] == server(19).id]
+    assert set(lost_keys) <= set(moved_keys)
+    assert len(moved_keys) < len(lost_keys) + 100
 
 
-# Servers.
+# Ejection, zones, slow start and weights of endpoints.
 
 
 def test_failing_endpoint_is_ejected_and_gets_one_trial() -> None:
     node = Node()
-    quieten(node)
-    home = node.serve(42)
+    avoid_hot_keys(node)
+    preferred_id = node.serve(42)
     for _ in range(2):
-        (send,) = node.ask(0, 42)
-        assert isinstance(send, api.Forward) and send.endpoint_id == home
-        node.end(send, AttemptResult.ERROR)
-    assert node.serve(42) != home
+        (forward,) = node.ask(0, 42)
+        assert isinstance(forward, api.Forward) and forward.endpoint_id == preferred_id
+        node.end(forward, AttemptResult.ERROR)
+    assert node.serve(42) != preferred_id
     node.wait(3 * SECOND)
     (trial,) = node.ask(0, 42)
-    assert isinstance(trial, api.Forward) and trial.endpoint_id == home
-    assert node.serve(42) != home  # one at a time
+    assert isinstance(trial, api.Forward) and trial.endpoint_id == preferred_id
+    assert node.serve(42) != preferred_id  # one trial at a time
     node.end(trial, AttemptResult.OK)
-    assert node.serve(42) == home
+    assert node.serve(42) == preferred_id
 
 
 def test_rarely_used_endpoint_is_ejected_by_one_failure_and_for_longer() -> None:
-    """Each of hundreds of nodes meets a failing endpoint once in ten seconds."""
+    """Each of hundreds of nodes sends a request to a failing endpoint only once in ten seconds."""
     node = Node(servers=12)
-    quieten(node)
-    home = node.serve(42)
+    avoid_hot_keys(node)
+    preferred_id = node.serve(42)
     node.wait(10 * SECOND)
     node.end(node.ask(2, 42)[0], AttemptResult.ERROR)  # type: ignore[arg-type]
     node.wait(3900 * MS)
-    assert node.serve(42) != home  # two seconds at most it had been
+    assert node.serve(42) != preferred_id  # the usual ejection is at most two seconds
     node.wait(5 * SECOND)
-    assert node.serve(42) == home
+    assert node.serve(42) == preferred_id
 
 
 def test_new_endpoint_does_not_count_as_silent() -> None:
-    """An endpoint that has not answered yet is not ejected by its first failure, nor for longer."""
+    """A new endpoint is not ejected by its first failure, and its ejection is not prolonged."""
     node = Node(servers=12)
     node.wait(100 * MS)
     first = node.ask(0, 42)[0]
@@ -457,11 +469,11 @@
 
 
 def test_resets_do_not_eject_an_endpoint_that_answers_others() -> None:
-    """A network that breaks some connections is no fault of the endpoints."""
+    """Guards against ejection for resets that are caused by the network and not by the endpoint."""
     node = Node(servers=12)
-    quieten(node)
-    home = node.serve(42)
-    status = node.balancer._endpoints.by_id[home or b""]
+    avoid_hot_keys(node)
+    preferred_id = node.serve(42)
+    status = node.balancer._endpoints.by_id[preferred_id or b""]
     for result in (
         AttemptResult.RESET,
         AttemptResult.RESET,
@@ -471,46 +483,46 @@
     ):
         node.balancer._record_result(node.now, status, result, 0)
     assert not status.ejected_until_ns
-    node.now += SECOND  # one that answers nobody may be down
+    node.now += SECOND  # an endpoint without any answer for a second may be down
     for _ in range(2):
         node.balancer._record_result(node.now, status, AttemptResult.RESET, 0)
     assert status.ejected_until_ns
 
 
 def test_trial_ends_when_its_connection_fails() -> None:
-    """A trial without a conclusive outcome must not keep the endpoint ejected for good."""
+    """Guards against a trial without a conclusive outcome that keeps the endpoint ejected forever."""
     node = Node()
-    quieten(node)
-    home = node.serve(42)
-    status = node.balancer._endpoints.by_id[home or b""]
+    avoid_hot_keys(node)
+    preferred_id = node.serve(42)
+    status = node.balancer._endpoints.by_id[preferred_id or b""]
     for _ in range(2):
         node.end(node.ask(2, 42)[0], AttemptResult.ERROR)  # type: ignore[arg-type]
     node.wait(3 * SECOND)
     (trial,) = node.ask(2, 42)
-    assert isinstance(trial, api.Forward) and trial.endpoint_id == home and status.is_on_trial
-    status.succeeded_at_ns = node.now  # by another attempt
+    assert isinstance(trial, api.Forward) and trial.endpoint_id == preferred_id and status.is_on_trial
+    status.succeeded_at_ns = node.now  # as if another attempt had succeeded
     node.end(trial, AttemptResult.CONNECT_FAILED)
-    assert node.serve(42) == home
+    assert node.serve(42) == preferred_id
 
 
 def test_endpoint_that_times_out_on_some_requests_is_not_ejected() -> None:
-    """Under load many endpoints time out now and then; ejecting them overloads the others."""
+    """Under load many endpoints have some time-outs; ejecting these endpoints would overload the others."""
     node = Node(servers=6)
     for _ in range(8):
-        window(node, 12, 100 * MS)
-    quieten(node)
-    home = node.serve(44)  # a key that comes back to it after its first time-outs
-    status = node.balancer._endpoints.by_id[home or b""]
+        serve_window(node, 12, 100 * MS)
+    avoid_hot_keys(node)
+    preferred_id = node.serve(44)  # a key that returns to this endpoint after its first time-outs
+    status = node.balancer._endpoints.by_id[preferred_id or b""]
     for _ in range(20):
         for result in (AttemptResult.TIMEOUT, AttemptResult.TIMEOUT, AttemptResult.OK):
-            (send,) = [one for one in node.ask(0, 44) if isinstance(one, api.Forward)]
-            if send.endpoint_id == home:
+            (forward,) = [action for action in node.ask(0, 44) if isinstance(action, api.Forward)]
+            if forward.endpoint_id == preferred_id:
                 node.now += 100 * MS
-                node.end(send, result, 400 * MS)
+                node.end(forward, result, 400 * MS)
             else:
-                node.end(send, AttemptResult.OK, 100 * MS)
+                node.end(forward, AttemptResult.OK, 100 * MS)
     assert not status.ejected_until_ns and status.failure_rate > 0.2
-    node.now += SECOND  # silence is another matter
+    node.now += SECOND  # without a recent success, time-outs eject
     for _ in range(3):
         node.tell(api.Request(node.next_id, SECOND, 0, 0, 42, False))
         node.balancer._record_result(node.now, status, AttemptResult.TIMEOUT, 0)
@@ -519,60 +531,60 @@
 
 def test_failed_trial_ejects_for_longer() -> None:
     node = Node()
-    quieten(node)
-    home = node.serve(42)
+    avoid_hot_keys(node)
+    preferred_id = node.serve(42)
     for _ in range(2):
         node.end(node.ask(0, 42)[0], AttemptResult.ERROR)  # type: ignore[arg-type]
     node.wait(2 * SECOND)
     node.end(node.ask(0, 42)[0], AttemptResult.ERROR)  # type: ignore[arg-type]
     node.wait(1900 * MS)
-    assert node.serve(42) != home
+    assert node.serve(42) != preferred_id
 
 
 def test_at_most_a_part_of_the_endpoints_is_ejected() -> None:
     node = Node(servers=9)
     for key in range(1, 300):
-        (send,) = node.ask(2, key)
-        if isinstance(send, api.Forward):
-            node.end(send, AttemptResult.ERROR)
+        (forward,) = node.ask(2, key)
+        if isinstance(forward, api.Forward):
+            node.end(forward, AttemptResult.ERROR)
     assert len({node.serve(key) for key in range(1, 200)}) >= 6
 
 
 def test_endpoint_that_fails_more_replaces_an_ejected_one() -> None:
-    """Endpoints with few time-outs must not fill the limit of ejections while another one fails always."""
+    """Guards against a limit used up by endpoints with few time-outs while another one always fails."""
     node = Node(servers=8)
-    mild, milder, bad = [
-        node.balancer._endpoints.by_id[name] for name in sorted(node.balancer._endpoints.by_id)
+    ejected_status, replaced_status, failing_status = [
+        node.balancer._endpoints.by_id[endpoint_id] for endpoint_id in sorted(node.balancer._endpoints.by_id)
     ][:3]
-    for status in (milder, mild):
+    for status in (replaced_status, ejected_status):
         status.succeeded_at_ns = node.now
         while not status.ejected_until_ns:
             node.balancer._record_result(node.now, status, AttemptResult.TIMEOUT, 0)
-    mild.failure_rate += 0.1
+    ejected_status.failure_rate += 0.1
     for _ in range(3):
-        node.balancer._record_result(node.now, bad, AttemptResult.ERROR, 0)
-        assert not bad.ejected_until_ns  # its failure rate is no higher than theirs
+        node.balancer._record_result(node.now, failing_status, AttemptResult.ERROR, 0)
+        assert not failing_status.ejected_until_ns  # its failure rate does not exceed theirs by enough
     for _ in range(3):
-        node.balancer._record_result(node.now, bad, AttemptResult.ERROR, 0)
-    assert bad.ejected_until_ns and mild.ejected_until_ns
-    assert not milder.ejected_until_ns
+        node.balancer._record_result(node.now, failing_status, AttemptResult.ERROR, 0)
+    assert failing_status.ejected_until_ns and ejected_status.ejected_until_ns
+    assert not replaced_status.ejected_until_ns
 
 
 def test_keys_go_to_the_own_zone_while_its_endpoints_are_idle() -> None:
-    """With forty nodes most load scores are equal, so the order of preference decides."""
+    """With forty nodes most load scores are equal, so that the order of preference decides."""
     node = Node(settings(zone=1), servers=12)
-    got = Counter(node.serve(key) for key in range(1, 301))
-    assert sum(got[server(number).id] for number in range(1, 12, 3)) > 270
-    held = [node.ask(0, key)[-1] for key in range(1, 61)]
-    busy = {send.endpoint_id for send in held if isinstance(send, api.Forward)}
-    assert len(busy) > 8  # those that have some leave the rest to the other candidate, of any zone
+    counts = Counter(node.serve(key) for key in range(1, 301))
+    assert sum(counts[server(number).id] for number in range(1, 12, 3)) > 270
+    actions = [node.ask(0, key)[-1] for key in range(1, 61)]
+    busy_ids = {forward.endpoint_id for forward in actions if isinstance(forward, api.Forward)}
+    assert len(busy_ids) > 8  # busy endpoints leave keys to the second candidate, which is of any zone
 
 
 def test_small_own_zone_gets_no_more_than_its_ratio() -> None:
     node = Node(settings(zone=1), servers=0)
     node.tell(whole(server(1), *(server(number) for number in range(30) if number % 3 != 1)))
-    got = Counter(node.serve(key) for key in range(1, 1001))
-    assert got[server(1).id] < 200
+    counts = Counter(node.serve(key) for key in range(1, 1001))
+    assert counts[server(1).id] < 200
 
 
 def test_slow_start_limits_the_requests_to_an_endpoint() -> None:
@@ -580,17 +592,17 @@
     for key in range(1, 300):
         node.serve(key)
     node.wait(SECOND)
-    cold = server(3, started=node.now)
-    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (cold,)))
-    got = Counter(node.serve(key) for key in range(1, 301))
-    assert got[cold.id] <= 2
+    warming_endpoint = server(3, started=node.now)
+    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (warming_endpoint,)))
+    counts = Counter(node.serve(key) for key in range(1, 301))
+    assert counts[warming_endpoint.id] <= 2
     node.wait(25 * SECOND)
-    got = Counter(node.serve(key) for key in range(1, 301))
-    assert got[cold.id] > 20
+    counts = Counter(node.serve(key) for key in range(1, 301))
+    assert counts[warming_endpoint.id] > 20
 
 
 def test_slow_start_budget_does_not_fall_while_load_is_shed() -> None:
-    """Shed load lowers the requests of warm endpoints, but not their capacity."""
+    """Shedding load lowers the number of requests to warm endpoints, but not their capacity."""
     node = Node()
     for _ in range(10):
         for key in range(1, 61):
@@ -599,18 +611,19 @@
     for key in range(1, 9):
         node.serve(key)
         node.wait(SECOND // 2)
-    cold = server(9, started=node.now)
-    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (cold,)))
+    warming_endpoint = server(9, started=node.now)
+    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (warming_endpoint,)))
     node.wait(SECOND)
-    assert Counter(node.serve(key) for key in range(1, 301))[cold.id] == 2
+    assert Counter(node.serve(key) for key in range(1, 301))[warming_endpoint.id] == 2
 
 
 def test_with_most_endpoints_in_slow_start_the_load_is_spread() -> None:
     node = Node(servers=8)
-    cold = [server(number, started=node.now) for number in range(8, 60)]
-    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, tuple(cold)))
-    got = Counter(node.serve(key) for key in range(1, 80_001, 100))  # neighbours would share draws
-    assert max(got.values()) < 250
+    warming_endpoints = [server(number, started=node.now) for number in range(8, 60)]
+    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, tuple(warming_endpoints)))
+    # The keys are 100 apart, as adjacent keys would share draws.
+    counts = Counter(node.serve(key) for key in range(1, 80_001, 100))
+    assert max(counts.values()) < 250
 
 
 def test_draining_and_unlisted_endpoints_get_no_requests() -> None:
@@ -637,145 +650,151 @@
 def test_heavier_endpoint_gets_more_keys() -> None:
     node = Node(servers=0)
     node.tell(whole(server(0)._replace(weight=3.0), server(1), server(2)))
-    got = Counter(node.serve(key) for key in range(1, 1001))
-    assert 500 < got[server(0).id] < 700
+    counts = Counter(node.serve(key) for key in range(1, 1001))
+    assert 500 < counts[server(0).id] < 700
 
 
-# Further attempts.
+# Retries.
 
 
 def test_maybe_executed_non_idempotent_request_fails_without_retry() -> None:
     node = Node()
-    (send,) = node.ask(2, 1)
-    assert isinstance(send, api.Forward)
-    assert node.end(send, AttemptResult.ERROR) == [api.Fail(send.request_id)]
+    (forward,) = node.ask(2, 1)
+    assert isinstance(forward, api.Forward)
+    assert node.end(forward, AttemptResult.ERROR) == [api.Fail(forward.request_id)]
 
 
 def test_non_idempotent_request_is_retried_after_a_failed_connection() -> None:
     node = Node()
-    (send,) = node.ask(2, 1)
-    assert isinstance(send, api.Forward)
-    (again,) = node.end(send, AttemptResult.CONNECT_FAILED)
-    assert isinstance(again, api.Forward) and again.endpoint_id != send.endpoint_id
+    (forward,) = node.ask(2, 1)
+    assert isinstance(forward, api.Forward)
+    (retry,) = node.end(forward, AttemptResult.CONNECT_FAILED)
+    assert isinstance(retry, api.Forward) and retry.endpoint_id != forward.endpoint_id
 
 
 def test_keyed_request_is_retried_only_in_its_cell_and_window() -> None:
     node = Node(settings(classes=(KEYED,)), servers=6)
-    (send,) = node.ask(0, 5)
-    assert isinstance(send, api.Forward)
-    (again,) = node.end(send, AttemptResult.RESET)
-    assert isinstance(again, api.Forward)
-    assert int.from_bytes(again.endpoint_id, "big") // 3 == int.from_bytes(send.endpoint_id, "big") // 3
-    (late,) = node.ask(0, 5)
-    assert isinstance(late, api.Forward)
+    (forward,) = node.ask(0, 5)
+    assert isinstance(forward, api.Forward)
+    (retry,) = node.end(forward, AttemptResult.RESET)
+    assert isinstance(retry, api.Forward)
+    assert int.from_bytes(retry.endpoint_id, "big") // 3 == int.from_bytes(forward.endpoint_id, "big") // 3
+    (overdue_forward,) = node.ask(0, 5)
+    assert isinstance(overdue_forward, api.Forward)
     node.wait(800 * MS)
-    assert node.end(late, AttemptResult.RESET) == [api.Fail(late.request_id)]
+    assert node.end(overdue_forward, AttemptResult.RESET) == [api.Fail(overdue_forward.request_id)]
 
 
 def test_keyed_retry_carries_a_write_deadline() -> None:
-    """A retry that waits for its connection may reach the endpoint after the deduplication window.
+    """Guards against a retry that waits for its connection and arrives after the deduplication window.
 
     The window begins with the first attempt that may have been executed.
     """
-    kind = api.RequestClass(
+    request_class = api.RequestClass(
         SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ALL, 300 * MS
     )
-    node = Node(settings(classes=(kind, UNSAFE)), servers=12)
-    decided = node.now
+    node = Node(settings(classes=(request_class, UNSAFE)), servers=12)
+    first_sent_at_ns = node.now
     (first,) = node.ask(0, 5)
-    assert isinstance(first, api.Forward) and first.write_deadline_ns == 0  # nothing can have run before it
+    # The first attempt has no write deadline, as no earlier one can have been executed.
+    assert isinstance(first, api.Forward) and first.write_deadline_ns == 0
     node.wait(50 * MS)
-    (again,) = node.end(first, AttemptResult.CONNECT_FAILED)
-    assert isinstance(again, api.Forward) and again.write_deadline_ns == 0
-    begun = node.now
+    (retry,) = node.end(first, AttemptResult.CONNECT_FAILED)
+    assert isinstance(retry, api.Forward) and retry.write_deadline_ns == 0
+    window_began_at_ns = node.now
     for _ in range(2):
         node.wait(100 * MS)
-        again = node.end(again, AttemptResult.RESET)[-1]
-        assert isinstance(again, api.Forward)
-        assert node.now < again.write_deadline_ns == begun + kind.deduplication_window_ns - REPEAT_TRANSIT_NS
-    assert decided < begun
-    (unsafe,) = node.ask(1, 5)
-    assert isinstance(unsafe, api.Forward) and unsafe.write_deadline_ns == 0
+        retry = node.end(retry, AttemptResult.RESET)[-1]
+        assert isinstance(retry, api.Forward)
+        assert (
+            node.now
+            < retry.write_deadline_ns
+            == window_began_at_ns + request_class.deduplication_window_ns - REPEAT_TRANSIT_NS
+        )
+    assert first_sent_at_ns < window_began_at_ns
+    (not_idempotent,) = node.ask(1, 5)
+    assert isinstance(not_idempotent, api.Forward) and not_idempotent.write_deadline_ns == 0
 
 
-@pytest.mark.parametrize(("left", "sent"), [(REPEAT_TRANSIT_NS + 1, True), (REPEAT_TRANSIT_NS, False)])
-def test_no_keyed_retry_is_sent_that_may_arrive_after_its_window(left: int, sent: bool) -> None:
-    kind = api.RequestClass(
+@pytest.mark.parametrize(
+    ("remaining_ns", "is_retried"), [(REPEAT_TRANSIT_NS + 1, True), (REPEAT_TRANSIT_NS, False)]
+)
+def test_no_keyed_retry_is_sent_that_may_arrive_after_its_window(remaining_ns: int, is_retried: bool) -> None:
+    request_class = api.RequestClass(
         SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ALL, 300 * MS
     )
-    node = Node(settings(classes=(kind,)), servers=6)
+    node = Node(settings(classes=(request_class,)), servers=6)
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Forward)
-    node.wait(kind.deduplication_window_ns - left)
+    node.wait(request_class.deduplication_window_ns - remaining_ns)
     action = node.end(first, AttemptResult.RESET)[-1]
-    assert isinstance(action, api.Forward if sent else api.Reject)
+    assert isinstance(action, api.Forward if is_retried else api.Reject)
 
 
 def test_keyed_request_without_a_key_is_not_retried() -> None:
     node = Node(settings(classes=(KEYED,)))
-    (send,) = node.ask(0, 0)
-    assert isinstance(send, api.Forward)
-    assert node.end(send, AttemptResult.RESET) == [api.Fail(send.request_id)]
+    (forward,) = node.ask(0, 0)
+    assert isinstance(forward, api.Forward)
+    assert node.end(forward, AttemptResult.RESET) == [api.Fail(forward.request_id)]
 
 
 def test_retries_are_bounded_by_a_budget() -> None:
     node = Node(servers=30)
-    again = 0
+    retry_count = 0
     for key in range(1, 201):
-        (send,) = node.ask(0, key)
-        if isinstance(send, api.Forward):
-            again += isinstance(node.end(send, AttemptResult.ERROR)[0], api.Forward)
+        (forward,) = node.ask(0, key)
+        if isinstance(forward, api.Forward):
+            retry_count += isinstance(node.end(forward, AttemptResult.ERROR)[0], api.Forward)
         node.wait(50 * MS)
-    assert 10 <= again <= 31
+    assert 10 <= retry_count <= 31
 
 
 def test_events_of_closed_requests_are_ignored() -> None:
     node = Node()
-    (send,) = node.ask(0, 1)
-    assert isinstance(send, api.Forward)
-    node.tell(api.ClientDisconnected(send.request_id))
-    assert node.end(send, AttemptResult.TIMEOUT) == []
-    assert node.end(send, AttemptResult.OK) == []
-    assert node.tell(api.ClientDisconnected(send.request_id)) == []
+    (forward,) = node.ask(0, 1)
+    assert isinstance(forward, api.Forward)
+    node.tell(api.ClientDisconnected(forward.request_id))
+    assert node.end(forward, AttemptResult.TIMEOUT) == []
+    assert node.end(forward, AttemptResult.OK) == []
+    assert node.tell(api.ClientDisconnected(forward.request_id)) == []
     assert node.tell(api.TimerFired(4711)) == []
 
 
-# The list.
+# Endpoint list, and failures of polls and watches.
 
 
 def test_failed_watch_is_reopened_with_bounded_backoff() -> None:
-    """The bound is what the notification limit leaves, if that is less than the poll interval."""
-    node = asking(poll_interval_ns=10 * SECOND)
-    next_call(node)
-    pauses = []
+    """The bound is the time that the notification limit leaves, or the poll interval if that is shorter."""
+    node = polling_node(poll_interval_ns=10 * SECOND)
+    wait_for_poll(node)
+    backoffs_ns = []
     for _ in range(20):
         node.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
-        before = node.now
-        pauses.append(next_call(node) - before)
-    assert pauses[0] <= SECOND + 10 * MS
-    assert 1500 * MS < max(pauses) <= 1625 * MS + 10 * MS
-    assert min(pauses[1:]) > 800 * MS
-    node = asking(poll_interval_ns=500 * MS)
-    next_call(node)
+        failed_at_ns = node.now
+        backoffs_ns.append(wait_for_poll(node) - failed_at_ns)
+    assert backoffs_ns[0] <= SECOND + 10 * MS
+    assert 1500 * MS < max(backoffs_ns) <= 1625 * MS + 10 * MS
+    assert min(backoffs_ns[1:]) > 800 * MS
+    node = polling_node(poll_interval_ns=500 * MS)
+    wait_for_poll(node)
     for _ in range(20):
         node.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
-        before = node.now
-        assert next_call(node) - before <= 500 * MS + 10 * MS
+        failed_at_ns = node.now
+        assert wait_for_poll(node) - failed_at_ns <= 500 * MS + 10 * MS
 
 
 def test_two_backoffs_fit_into_the_notification_limit() -> None:
-    """A watch may end without bringing a list, also right after discovery has recovered."""
+    """A watch may end without delivering a list, also right after discovery has recovered."""
     for seed in range(20):
-        node = asking(seed)
+        node = polling_node(seed)
         for _ in range(12):
-            next_call(node)
+            wait_for_poll(node)
             node.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
-        returned = node.now
-        next_call(node)
-        node.tell(
-            api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ())
-        )  # it had 200 for an answer, and ended
-        assert next_call(node) - returned + 2500 * MS <= 6 * SECOND
+        recovered_at_ns = node.now
+        wait_for_poll(node)
+        # The watch was answered with status 200, and ended without a list.
+        node.tell(api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
+        assert wait_for_poll(node) - recovered_at_ns + 2500 * MS <= 6 * SECOND
 
 
 def test_node_restarted_with_an_empty_list_polls_within_a_second() -> None:
@@ -794,23 +813,23 @@
 
 
 def test_retries_within_a_zone_are_spread_over_its_endpoints() -> None:
-    kind = api.RequestClass(
+    request_class = api.RequestClass(
         SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.ZONE, 5 * SECOND
     )
-    node = Node(settings(classes=(kind,)), servers=30)
-    again = set()
+    node = Node(settings(classes=(request_class,)), servers=30)
+    retry_endpoint_ids = set()
     for key in range(1, 60):
-        (send,) = node.ask(0, key)
-        if isinstance(send, api.Forward):
-            (action,) = node.end(send, AttemptResult.RESET)
+        (forward,) = node.ask(0, key)
+        if isinstance(forward, api.Forward):
+            (action,) = node.end(forward, AttemptResult.RESET)
             if isinstance(action, api.Forward):
-                again.add(action.endpoint_id)
+                retry_endpoint_ids.add(action.endpoint_id)
                 node.end(action, AttemptResult.OK)
         node.wait(50 * MS)
-    assert len(again) > 5
+    assert len(retry_endpoint_ids) > 5
 
 
-def test_removed_endpoints_are_forgotten() -> None:
+def test_removed_endpoints_are_deleted() -> None:
     balancer = Balancer(settings(), 3)
     for n in range(50):
         balancer.handle(n, whole(server(n), server(n + 1)))
@@ -818,32 +837,32 @@
 
 
 def test_nodes_that_start_together_poll_at_different_times() -> None:
-    first = []
+    first_poll_times_ns = []
     for seed in range(10):
         node = Node(settings(discovery_mode=api.DiscoveryMode.POLL), seed=seed)
-        first.append(min(timer.at_ns for timer in node.timers if timer.timer_id == 2))
-    assert len(set(first)) == 10
-    assert max(first) - min(first) > SECOND
+        first_poll_times_ns.append(min(timer.at_ns for timer in node.timers if timer.timer_id == 2))
+    assert len(set(first_poll_times_ns)) == 10
+    assert max(first_poll_times_ns) - min(first_poll_times_ns) > SECOND
 
 
-# Order.
+# Ordering by key.
 
-ORDERED = api.RequestClass(SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENT, ordered_by_key=True)
+ORDERED_CLASS = api.RequestClass(SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENT, ordered_by_key=True)
 
 
-def ordered(servers: int = 6) -> Node:
-    node = Node(settings(classes=(ORDERED, ORDERED), key_cooldown_ns=50 * MS), servers)
-    for _ in range(9):  # windows that tell how long such requests take
-        window(node, 2, 10 * MS)
-        window(node, 2, 10 * MS, class_index=1)
+def node_with_ordered_key(servers: int = 6) -> Node:
+    node = Node(settings(classes=(ORDERED_CLASS, ORDERED_CLASS), key_cooldown_ns=50 * MS), servers)
+    for _ in range(9):  # windows from which the node learns the typical response time
+        serve_window(node, 2, 10 * MS)
+        serve_window(node, 2, 10 * MS, class_index=1)
     return node
 
 
 def test_requests_of_an_ordered_key_are_sent_one_at_a_time_in_order() -> None:
-    node = ordered()
+    node = node_with_ordered_key()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Forward)
-    assert isinstance(node.ask(0, 6)[0], api.Forward)  # another key
+    assert isinstance(node.ask(0, 6)[0], api.Forward)  # a different key is not queued
     assert isinstance(node.ask(0, 0)[0], api.Forward) and isinstance(node.ask(0, 0)[0], api.Forward)  # no key
     assert isinstance(node.ask(1, 5)[0], api.SetTimer) and isinstance(node.ask(0, 5)[0], api.SetTimer)
     (second,) = node.end(first, AttemptResult.OK)
@@ -853,20 +872,21 @@
     assert node.end(third, AttemptResult.OK) == []
 
 
-def test_ordered_key_cools_down_after_an_attempt_that_may_still_run() -> None:
-    node = ordered()
+def test_next_request_of_an_ordered_key_waits_after_an_attempt_that_may_still_run() -> None:
+    node = node_with_ordered_key()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Forward)
     node.ask(0, 5)
-    (again,) = node.end(first, AttemptResult.RESET)
-    assert isinstance(again, api.Forward) and again.request_id == first.request_id  # it keeps its turn
-    assert all(isinstance(action, api.SetTimer) for action in node.end(again, AttemptResult.OK))
+    (retry,) = node.end(first, AttemptResult.RESET)
+    # The retry is sent before the next request with the key.
+    assert isinstance(retry, api.Forward) and retry.request_id == first.request_id
+    assert all(isinstance(action, api.SetTimer) for action in node.end(retry, AttemptResult.OK))
     assert not [action for action in node.wait(49 * MS) if isinstance(action, api.Forward)]
     assert [action for action in node.wait(2 * MS) if isinstance(action, api.Forward)]
 
 
 def test_request_of_a_disconnected_client_blocks_its_key_until_its_attempt_ends() -> None:
-    node = ordered()
+    node = node_with_ordered_key()
     (first,) = node.ask(0, 5)
     assert isinstance(first, api.Forward)
     node.tell(api.ClientDisconnected(first.request_id))
@@ -875,221 +895,235 @@
 
 
 def test_queued_request_is_rejected_before_its_time_is_up() -> None:
-    node = ordered()
+    node = node_with_ordered_key()
     node.ask(0, 5)
-    asked = node.now
+    queued_at_ns = node.now
     node.ask(0, 5)
     while not any(isinstance(action, api.Reject) for action in node.wait(10 * MS)):
-        assert node.now < asked + SECOND
-    assert node.now > asked + SECOND // 3
+        assert node.now < queued_at_ns + SECOND
+    assert node.now > queued_at_ns + SECOND // 3
 
 
 def test_request_that_would_wait_too_long_is_not_queued() -> None:
-    """A popular key at a single node gets more requests than one at a time can serve."""
-    node = Node(settings(classes=(ORDERED,)))
+    """A popular key at a single node gets more requests than can be served one at a time."""
+    node = Node(settings(classes=(ORDERED_CLASS,)))
     for _ in range(9):
-        window(node, 2, 300 * MS)
-    got = [node.ask(0, 5)[0] for _ in range(10)]
-    assert sum(isinstance(action, api.Reject) for action in got) >= 7
-    assert isinstance(got[-1], api.Reject) and isinstance(got[1], api.SetTimer)
+        serve_window(node, 2, 300 * MS)
+    actions = [node.ask(0, 5)[0] for _ in range(10)]
+    assert sum(isinstance(action, api.Reject) for action in actions) >= 7
+    assert isinstance(actions[-1], api.Reject) and isinstance(actions[1], api.SetTimer)
 
 
-# Connections.
+# Idle connections.
 
 
-def lose_idle(node: Node, result: AttemptResult, keys: range = range(1, 9)) -> None:
-    """Requests that go out on connections which had been idle for three seconds, and are not answered."""
+def lose_attempts_on_idle_connections(node: Node, result: AttemptResult, keys: range = range(1, 9)) -> None:
+    """Send requests on connections that have been idle for three seconds, and end them with `result`."""
     for key in keys:
         node.serve(key)
         node.wait(3 * SECOND)
         for status in node.balancer._endpoints.ready:
-            node.balancer._outliers.reinstate(status)  # the first losses, not yet understood, eject some
+            node.balancer._outliers.reinstate(status)  # the first losses eject endpoints
         actions = node.ask(2, key)
-        send = actions[-1]
-        assert isinstance(send, api.Forward)
-        node.end(send, result, 300 * MS)
+        forward = actions[-1]
+        assert isinstance(forward, api.Forward)
+        node.end(forward, result, 300 * MS)
 
 
 @pytest.mark.parametrize("result", [AttemptResult.RESET, AttemptResult.TIMEOUT])
 def test_idle_connections_are_closed_before_use_after_losses(result: AttemptResult) -> None:
-    """What is sent on a connection that the network has dropped is lost, and may have been executed."""
+    """A request on a connection that the network has dropped is lost, and may have been executed."""
     node = Node()
     node.serve(1)
     node.wait(3 * SECOND)
     assert [type(action) for action in node.ask(2, 1)] == [api.Forward]
     node = Node(servers=60)
-    lose_idle(node, result, range(500, 504 if result is AttemptResult.RESET else 524))
+    lose_attempts_on_idle_connections(node, result, range(500, 504 if result is AttemptResult.RESET else 524))
     node.serve(524)
     node.wait(3 * SECOND)
-    hang_up, send = node.ask(2, 524)
-    assert isinstance(hang_up, api.CloseIdleConnections) and isinstance(send, api.Forward)
-    assert hang_up.endpoint_id == send.endpoint_id
-    node.end(send, AttemptResult.OK)
+    close_idle, forward = node.ask(2, 524)
+    assert isinstance(close_idle, api.CloseIdleConnections) and isinstance(forward, api.Forward)
+    assert close_idle.endpoint_id == forward.endpoint_id
+    node.end(forward, AttemptResult.OK)
     node.wait(100 * MS)
-    assert [type(action) for action in node.ask(2, 524)] == [api.Forward]  # it did not idle for long
+    # The connection was not idle for long.
+    assert [type(action) for action in node.ask(2, 524)] == [api.Forward]
 
 
-def test_timeouts_of_slow_endpoints_do_not_distrust_idle_connections() -> None:
-    """With forty nodes nearly all attempts use connections that have been idle for seconds."""
+def test_timeouts_of_slow_endpoints_do_not_close_idle_connections() -> None:
+    """With forty nodes almost all attempts use connections that have been idle for seconds."""
     node = Node()
     actions: list[api.Action] = []
     for key in range(81, 161):
         node.wait(500 * MS)
         actions += node.ask(2, key)
-        send = actions[-1]
-        assert isinstance(send, api.Forward)
-        node.end(send, AttemptResult.TIMEOUT if key % 8 < 2 else AttemptResult.OK, 300 * MS)
+        forward = actions[-1]
+        assert isinstance(forward, api.Forward)
+        node.end(forward, AttemptResult.TIMEOUT if key % 8 < 2 else AttemptResult.OK, 300 * MS)
     assert not [action for action in actions if isinstance(action, api.CloseIdleConnections)]
 
 
-def test_trust_in_idle_connections_recovers() -> None:
+def test_idle_connections_are_reused_again_some_time_after_losses() -> None:
     node = Node()
-    lose_idle(node, AttemptResult.RESET, range(1, 5))
+    lose_attempts_on_idle_connections(node, AttemptResult.RESET, range(1, 5))
     node.wait(60 * SECOND)
     node.serve(5)
     node.wait(3 * SECOND)
     assert [type(action) for action in node.ask(2, 5)] == [api.Forward]
 
 
-def test_trust_in_idle_connections_recovers_without_overflow() -> None:
-    """The doublings of the trusted idle time are bounded."""
+def test_bound_on_the_idle_time_does_not_overflow() -> None:
+    """Guards against an overflow after 90 days, as the number of doublings is bounded."""
     node = Node()
-    lose_idle(node, AttemptResult.RESET, range(1, 5))
+    lose_attempts_on_idle_connections(node, AttemptResult.RESET, range(1, 5))
     node.serve(5)
     node.now += 90 * 24 * 3600 * SECOND
     assert isinstance(node.ask(2, 5)[-1], api.Forward)
 
 
-def test_losses_on_new_connections_do_not_distrust_idle_ones() -> None:
+def test_losses_on_new_connections_do_not_close_idle_ones() -> None:
     node = Node(servers=30)
     for key in range(100, 120):
-        send = node.ask(2, key)[-1]
-        assert isinstance(send, api.Forward)
-        node.end(send, AttemptResult.TIMEOUT, 300 * MS)
-    lose_idle(node, AttemptResult.TIMEOUT, range(1, 3))
+        forward = node.ask(2, key)[-1]
+        assert isinstance(forward, api.Forward)
+        node.end(forward, AttemptResult.TIMEOUT, 300 * MS)
+    lose_attempts_on_idle_connections(node, AttemptResult.TIMEOUT, range(1, 3))
     node.serve(5)
     node.wait(3 * SECOND)
     assert [type(action) for action in node.ask(2, 5)] == [api.Forward]
 
 
 def test_established_connections_are_used_while_new_ones_fail() -> None:
-    """Endpoints that answer on established connections are not down."""
+    """Guards against ejecting endpoints that still answer on established connections."""
     node = Node(servers=12)
     for key in range(1, 60):
         node.serve(key)
-    standing = {node.serve(key) for key in range(1, 60)}
-    held = [node.ask(0, key)[0] for key in range(1, 60)]  # takes the standing connections and needs more
-    fails = [send for send in held[12:] if isinstance(send, api.Forward)]
-    for send in fails[:10]:
-        (again,) = node.end(send, AttemptResult.CONNECT_FAILED)
-        assert isinstance(again, api.Forward)
-        node.end(again, AttemptResult.OK)
-    for send in held[:12]:
-        assert isinstance(send, api.Forward)
-        if len(node.sent[send.request_id]) == 1:
-            node.end(send, AttemptResult.OK)
-    assert not [one for one in node.balancer._endpoints.ready if one.ejected_until_ns]
-    (send,) = node.ask(0, 3)
-    assert isinstance(send, api.Forward) and send.endpoint_id in standing
-    connected = {name for name, one in node.balancer._endpoints.by_id.items() if one.idle_since_ns}
-    (again,) = node.end(send, AttemptResult.CONNECT_FAILED)
-    assert isinstance(again, api.Forward) and again.endpoint_id in connected
-
-
-# Kinds of machine.
-
-
-def machines(weight: float = 1.0) -> Node:
+    established_ids = {node.serve(key) for key in range(1, 60)}
+    # These attempts use the established connections and need new ones.
+    forwards = [node.ask(0, key)[0] for key in range(1, 60)]
+    failing = [forward for forward in forwards[12:] if isinstance(forward, api.Forward)]
+    for forward in failing[:10]:
+        (retry,) = node.end(forward, AttemptResult.CONNECT_FAILED)
+        assert isinstance(retry, api.Forward)
+        node.end(retry, AttemptResult.OK)
+    for forward in forwards[:12]:
+        assert isinstance(forward, api.Forward)
+        if len(node.sent[forward.request_id]) == 1:
+            node.end(forward, AttemptResult.OK)
+    assert not [status for status in node.balancer._endpoints.ready if status.ejected_until_ns]
+    (forward,) = node.ask(0, 3)
+    assert isinstance(forward, api.Forward) and forward.endpoint_id in established_ids
+    connected_ids = {
+        endpoint_id for endpoint_id, status in node.balancer._endpoints.by_id.items() if status.idle_since_ns
+    }
+    (retry,) = node.end(forward, AttemptResult.CONNECT_FAILED)
+    assert isinstance(retry, api.Forward) and retry.endpoint_id in connected_ids
+
+
+# Hardware types, time limits of attempts, load reports and settings.
+
+
+def node_with_two_hardware_types(weight: float = 1.0) -> Node:
     node = Node(settings(load_report_fields=("utilization",)), servers=0)
     weights = (1.0, weight)
     node.tell(whole(*(server(n)._replace(hardware_type=n % 2, weight=weights[n % 2]) for n in range(20))))
     return node
 
 
-def part_of_second_kind(node: Node) -> float:
-    got = [node.serve(key) for key in range(50_000, 50_400)]
-    return sum(int.from_bytes(name or b"", "big") % 2 for name in got) / len(got)
+def key_ratio_of_second_type(node: Node) -> float:
+    endpoint_ids = [node.serve(key) for key in range(50_000, 50_400)]
+    return sum(int.from_bytes(endpoint_id or b"", "big") % 2 for endpoint_id in endpoint_ids) / len(
+        endpoint_ids
+    )
 
 
-def report(node: Node, busy: tuple[float, float]) -> None:
+def report_utilization(node: Node, utilizations: tuple[float, float]) -> None:
     for n in range(60):
-        (send,) = node.ask(0, 100 + n)
-        assert isinstance(send, api.Forward)
-        node.end(send, AttemptResult.OK, 10 * MS, (busy[int.from_bytes(send.endpoint_id, "big") % 2],))
+        (forward,) = node.ask(0, 100 + n)
+        assert isinstance(forward, api.Forward)
+        node.end(
+            forward,
+            AttemptResult.OK,
+            10 * MS,
+            (utilizations[int.from_bytes(forward.endpoint_id, "big") % 2],),
+        )
         node.wait(50 * MS)
 
 
 def test_hardware_type_with_higher_utilization_gets_fewer_keys() -> None:
-    """Where the list gives no weights, the slowest type must not get as many keys as the others."""
-    node = machines()
-    assert 0.4 < part_of_second_kind(node) < 0.6
-    report(node, (0.3, 0.9))
-    assert part_of_second_kind(node) < 0.3
+    """Guards against as many keys for a slow type as for the others if the list has equal weights."""
+    node = node_with_two_hardware_types()
+    assert 0.4 < key_ratio_of_second_type(node) < 0.6
+    report_utilization(node, (0.3, 0.9))
+    assert key_ratio_of_second_type(node) < 0.3
 
 
 def test_hash_ratios_stay_equal_where_the_list_gives_weights() -> None:
-    node = machines(weight=2.0)
-    before = part_of_second_kind(node)
-    report(node, (0.3, 0.6))
-    assert abs(part_of_second_kind(node) - before) < 0.05
+    node = node_with_two_hardware_types(weight=2.0)
+    ratio_before = key_ratio_of_second_type(node)
+    report_utilization(node, (0.3, 0.6))
+    assert abs(key_ratio_of_second_type(node) - ratio_before) < 0.05
 
 
 def test_every_hardware_type_keeps_a_hash_ratio() -> None:
-    node = machines()
-    report(node, (0.0, 0.0))
-    assert 0.4 < part_of_second_kind(node) < 0.6
+    node = node_with_two_hardware_types()
+    report_utilization(node, (0.0, 0.0))
+    assert 0.4 < key_ratio_of_second_type(node) < 0.6
     for n in range(100):
-        send = node.ask(0, 900 + n)[0]
-        if isinstance(send, api.Forward):
-            node.end(send, AttemptResult.TIMEOUT, 500 * MS)
+        forward = node.ask(0, 900 + n)[0]
+        if isinstance(forward, api.Forward):
+            node.end(forward, AttemptResult.TIMEOUT, 500 * MS)
         node.wait(400 * MS)
-    assert all(kind.hash_ratio > 0.0 for kind in node.balancer._hardware_types.by_type.values())
+    assert all(
+        hardware_type.hash_ratio > 0.0 for hardware_type in node.balancer._hardware_types.by_type.values()
+    )
 
 
 def test_no_retry_once_an_answer_has_no_value() -> None:
-    """After a time-out at the objective nobody waits for an answer."""
+    """After a time-out at the objective, a late answer has no value and is not waited for."""
     node = Node()
-    (send,) = node.ask(0, 1, remaining_ns=3 * SECOND)
-    assert isinstance(send, api.Forward) and send.timeout_ns == 500 * MS
+    (forward,) = node.ask(0, 1, remaining_ns=3 * SECOND)
+    assert isinstance(forward, api.Forward) and forward.timeout_ns == 500 * MS
     node.now += 200 * MS
-    (again,) = node.end(send, AttemptResult.CONNECT_FAILED, 200 * MS)
-    assert isinstance(again, api.Forward) and again.timeout_ns == 300 * MS
+    (retry,) = node.end(forward, AttemptResult.CONNECT_FAILED, 200 * MS)
+    assert isinstance(retry, api.Forward) and retry.timeout_ns == 300 * MS
     node.now += 300 * MS
-    assert isinstance(node.end(again, AttemptResult.TIMEOUT, 300 * MS)[0], api.Reject)
+    assert isinstance(node.end(retry, AttemptResult.TIMEOUT, 300 * MS)[0], api.Reject)
 
 
 def test_no_retry_without_time_left_and_no_ejection_for_an_early_timeout() -> None:
-    """Time-outs of a few milliseconds, all that a retry has left, say nothing of the endpoint."""
+    """The time-out of a retry with a few milliseconds left is no evidence about the endpoint."""
     node = Node(servers=6)
     for _ in range(8):
-        window(node, 12, 100 * MS)
+        serve_window(node, 12, 100 * MS)
     for key in range(1, 5):
-        send = node.ask(0, key)[-1]
-        assert isinstance(send, api.Forward)
+        forward = node.ask(0, key)[-1]
+        assert isinstance(forward, api.Forward)
         node.now += 440 * MS
-        again = node.end(send, AttemptResult.REJECTED, 440 * MS)[-1]
-        assert isinstance(again, api.Forward) and again.timeout_ns == 60 * MS  # enough for some answers
+        retry = node.end(forward, AttemptResult.REJECTED, 440 * MS)[-1]
+        assert isinstance(retry, api.Forward) and retry.timeout_ns == 60 * MS  # long enough for some answers
         node.now += 60 * MS
-        assert isinstance(node.end(again, AttemptResult.TIMEOUT, 60 * MS)[0], api.Reject)
-        send = node.ask(0, key)[-1]
-        assert isinstance(send, api.Forward)
+        assert isinstance(node.end(retry, AttemptResult.TIMEOUT, 60 * MS)[0], api.Reject)
+        forward = node.ask(0, key)[-1]
+        assert isinstance(forward, api.Forward)
         node.now += 460 * MS
-        assert isinstance(
-            node.end(send, AttemptResult.REJECTED, 460 * MS)[0], api.Reject
-        )  # 40 ms: too little
-    assert not any(one.ejected_until_ns or one.utilization for one in node.balancer._endpoints.by_id.values())
+        # The remaining 40 ms are too short for a retry.
+        assert isinstance(node.end(forward, AttemptResult.REJECTED, 460 * MS)[0], api.Reject)
+    assert not any(
+        status.ejected_until_ns or status.utilization for status in node.balancer._endpoints.by_id.values()
+    )
 
 
 @pytest.mark.parametrize("report", [(), (0.9,)])
 def test_answer_without_a_report_keeps_the_utilization(report: tuple[float, ...]) -> None:
     node = Node(settings(load_report_fields=("utilization",)), servers=1)
-    (send,) = node.ask(0, 1)
-    assert isinstance(send, api.Forward)
-    node.end(send, AttemptResult.OK, report=(0.9,))
-    (send,) = node.ask(0, 1)
-    assert isinstance(send, api.Forward)
-    node.end(send, AttemptResult.OK, report=report)
-    assert node.balancer._endpoints.by_id[send.endpoint_id].utilization == 0.9
+    (forward,) = node.ask(0, 1)
+    assert isinstance(forward, api.Forward)
+    node.end(forward, AttemptResult.OK, report=(0.9,))
+    (forward,) = node.ask(0, 1)
+    assert isinstance(forward, api.Forward)
+    node.end(forward, AttemptResult.OK, report=report)
+    assert node.balancer._endpoints.by_id[forward.endpoint_id].utilization == 0.9
 
 
 @pytest.mark.parametrize(
@@ -1117,15 +1151,15 @@
 
 
 def test_caps_are_lowered_while_most_attempts_are_lost() -> None:
-    """Overloaded endpoints need less than half of the load to empty their queues."""
+    """Guards against queues that never empty, as overloaded endpoints need less than half of the load."""
     node = Node(settings(classes=(UNSAFE,)), servers=6)
     for _ in range(4):
-        window(node, 12, 50 * MS)
+        serve_window(node, 12, 50 * MS)
     for _ in range(4):
-        sends = [node.ask(0, key)[0] for key in range(1, 13)]
+        forwards = [node.ask(0, key)[0] for key in range(1, 13)]
         node.wait(300 * MS)
-        for send in sends:
-            if isinstance(send, api.Forward):
-                node.end(send, AttemptResult.TIMEOUT, 300 * MS)
+        for forward in forwards:
+            if isinstance(forward, api.Forward):
+                node.end(forward, AttemptResult.TIMEOUT, 300 * MS)
         node.wait(300 * MS)
     assert max(node.balancer._admission.caps) < 1.0
--- a/tests/policy/test_endpoint_subset.py
+++ b/tests/policy/test_endpoint_subset.py
@@ -1,4 +1,4 @@
-"""The subset of the endpoints for requests without keys: its width, and what all nodes' subsets add up to."""
+"""Subset of the endpoints for requests without keys: its width, and the load of all subsets together."""
 
 from __future__ import annotations
 
@@ -20,24 +20,25 @@
 from moleport.policy.outlier_detection import OutlierDetector
 from moleport.policy.slow_start import SlowStart
 
-NODES = 660
-ENDPOINTS = 7_200
-ZONES = 3
+NODE_COUNT = 660
+ENDPOINT_COUNT = 7_200
+ZONE_COUNT = 3
 CLASSES = (api.RequestClass(500 * MS, 1.0, 0.0, api.Idempotency.IDEMPOTENT),)
 
 
 def entry(number: int, state: api.EndpointState = api.EndpointState.READY, started: int = 0) -> api.Endpoint:
-    """Return an endpoint with an id like those of the node, which are hashes."""
+    """Return an endpoint whose id is a hash, like the ids that the node uses."""
     return server(number, state, started)._replace(id=mix64(number).to_bytes(8, "little"))
 
 
 def endpoint_set(zone: int, entries: tuple[api.Endpoint, ...]) -> EndpointSet:
-    rules = settings(zone=zone)
+    """Return the endpoint set of a node in this zone after a snapshot with these entries."""
+    node_settings = settings(zone=zone)
     endpoints = EndpointSet(zone)
     outliers = OutlierDetector(endpoints, Random(1))
-    subset = EndpointSubset(rules, endpoints, 1)
-    slow_start = SlowStart(rules, Random(1), endpoints, outliers, subset)
-    registry = EndpointRegistry(endpoints, outliers, slow_start, LoadReports(rules, HardwareTypes()))
+    subset = EndpointSubset(node_settings, endpoints, 1)
+    slow_start = SlowStart(node_settings, Random(1), endpoints, outliers, subset)
+    registry = EndpointRegistry(endpoints, outliers, slow_start, LoadReports(node_settings, HardwareTypes()))
     registry.apply_update(START, whole(*entries))
     return endpoints
 
@@ -45,16 +46,16 @@
 @pytest.mark.parametrize("in_flight", [1.0, 30.0])
 @pytest.mark.parametrize("layout", ["round robin", "blocks"])
 def test_the_subsets_of_all_nodes_spread_the_load_evenly(layout: str, in_flight: float) -> None:
-    """Nodes with equal traffic, whose zones follow from their numbers in either way."""
-    entries = tuple(entry(number) for number in range(ENDPOINTS))
-    by_zone = [endpoint_set(zone, entries) for zone in range(ZONES)]
-    sample = [one.endpoint.id for one in by_zone[0].ready[::12]]
+    """All nodes have equal traffic; their zones depend on the node index in two common ways."""
+    entries = tuple(entry(number) for number in range(ENDPOINT_COUNT))
+    by_zone = [endpoint_set(zone, entries) for zone in range(ZONE_COUNT)]
+    sample = [status.endpoint.id for status in by_zone[0].ready[::12]]
     loads = dict.fromkeys(sample, 0.0)
-    for index in range(NODES):
-        zone = index % ZONES if layout == "round robin" else index * ZONES // NODES
+    for index in range(NODE_COUNT):
+        zone = index % ZONE_COUNT if layout == "round robin" else index * ZONE_COUNT // NODE_COUNT
         endpoints = by_zone[zone]
-        rules = settings(zone=zone, node_count=NODES, node_index=index)
-        subset = EndpointSubset(rules, endpoints, seed=index)
+        node_settings = settings(zone=zone, node_count=NODE_COUNT, node_index=index)
+        subset = EndpointSubset(node_settings, endpoints, seed=index)
         for _ in range(20):
             subset.on_keyless_request()
             subset.end_window(in_flight, request_count=1)
@@ -65,99 +66,105 @@
     assert min(loads.values()) / mean >= 0.85
 
 
-def node_before(count: int, **changes: object) -> Node:
+def node_with_endpoints(count: int, **changes: object) -> Node:
+    """Return one of 40 nodes, in zone 1, with this number of ready endpoints."""
     node = Node(settings(classes=CLASSES, node_count=40, node_index=7, zone=1, **changes), servers=0)
     node.tell(whole(*(entry(number) for number in range(count))))
     return node
 
 
-def targets(node: Node, count: int, keys: bool = False) -> set[api.EndpointId]:
-    found = {node.serve(number if keys else 0, elapsed=MS) for number in range(1, count + 1)}
+def used_endpoints(node: Node, count: int, has_keys: bool = False) -> set[api.EndpointId]:
+    """Serve `count` requests, with or without keys, and return the endpoints that answered."""
+    found = {node.serve(number if has_keys else 0, elapsed=MS) for number in range(1, count + 1)}
     assert None not in found
-    return {one for one in found if one is not None}
+    return {endpoint_id for endpoint_id in found if endpoint_id is not None}
 
 
 def test_requests_without_keys_use_a_subset_where_the_fleet_is_large() -> None:
     for count in (192, 3200, 7200):
-        # Of all zones and of the own one; each as an arc that may be rounded up.
-        assert len(targets(node_before(count), 2000)) <= 2.5 * MIN_ENDPOINT_COUNT
+        # One arc is of all zones and one of the own zone; each length may be rounded up.
+        assert len(used_endpoints(node_with_endpoints(count), 2000)) <= 2.5 * MIN_ENDPOINT_COUNT
 
 
 def test_requests_with_keys_reach_the_endpoints_that_their_keys_hash_to(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    node = node_before(192)
+    node = node_with_endpoints(192)
     with_subset = [node.serve(key, elapsed=MS) for key in range(1, 400)]
     monkeypatch.setattr(endpoint_subset, "MIN_ENDPOINT_COUNT", 10**9)
-    node = node_before(192)
+    node = node_with_endpoints(192)
     assert [node.serve(key, elapsed=MS) for key in range(1, 400)] == with_subset
     assert len(set(with_subset)) > MIN_ENDPOINT_COUNT
 
 
 def test_the_subset_grows_with_the_requests_in_flight_and_shrinks_slowly() -> None:
-    node = node_before(3200, overload_multiple=4.0)
-    few = len(targets(node, 1000))
+    node = node_with_endpoints(3200, overload_multiple=4.0)
+    used_before = len(used_endpoints(node, 1000))
     sends = [action for _ in range(60) for action in node.ask() if isinstance(action, api.Forward)]
     for _ in range(4):
         node.wait(500 * MS)
     for send in sends:
         node.end(send, api.AttemptResult.OK)
-    assert len(targets(node, 3000)) > 2 * few
+    assert len(used_endpoints(node, 3000)) > 2 * used_before
 
 
 def test_draining_endpoints_of_the_subset_are_replaced() -> None:
-    node = node_before(3200)
-    before = targets(node, 2000)
-    leaving = sorted(before)[::2]
-    by_id = {one.id: one for one in map(entry, range(3200))}
-    drained = tuple(by_id[name]._replace(state=api.EndpointState.DRAINING) for name in leaving)
+    node = node_with_endpoints(3200)
+    used_before = used_endpoints(node, 2000)
+    draining_ids = sorted(used_before)[::2]
+    by_id = {endpoint.id: endpoint for endpoint in map(entry, range(3200))}
+    drained = tuple(
+        by_id[endpoint_id]._replace(state=api.EndpointState.DRAINING) for endpoint_id in draining_ids
+    )
     node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, drained))
-    after = targets(node, 2000)
-    assert not after & set(leaving)
-    assert len(after) >= MIN_ENDPOINT_COUNT
-    assert len(after & before) >= 0.9 * len(before - set(leaving))  # the rest of it stays in use
-
-
-def answered_without_own_zone(requests: int) -> int:
-    """Return how many requests are answered while no endpoint of the node's own zone is reached."""
-    node = node_before(192)
-    zones = {one.id: one.zone for one in map(entry, range(192))}
-    answered = 0
-    for _ in range(requests):
+    used_after = used_endpoints(node, 2000)
+    assert not used_after & set(draining_ids)
+    assert len(used_after) >= MIN_ENDPOINT_COUNT
+    assert len(used_after & used_before) >= 0.9 * len(
+        used_before - set(draining_ids)
+    )  # the rest of the subset stays in use
+
+
+def answered_without_own_zone(request_count: int) -> int:
+    """Return how many requests are answered while connections to the own zone fail."""
+    node = node_with_endpoints(192)
+    zone_by_id = {endpoint.id: endpoint.zone for endpoint in map(entry, range(192))}
+    answered_count = 0
+    for _ in range(request_count):
         action = node.ask()[-1]
         while isinstance(action, api.Forward):
-            if zones[action.endpoint_id] != node.balancer._settings.zone:
+            if zone_by_id[action.endpoint_id] != node.balancer._settings.zone:
                 node.end(action, api.AttemptResult.OK)
-                answered += 1
+                answered_count += 1
                 break
             action = node.end(action, api.AttemptResult.CONNECT_FAILED, elapsed=MS)[-1]
         node.wait(5 * MS)
-    return answered
+    return answered_count
 
 
 def test_the_loss_of_a_zone_costs_no_more_answers_than_without_a_subset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    with_subset = answered_without_own_zone(requests=300)
+    with_subset = answered_without_own_zone(request_count=300)
     monkeypatch.setattr(endpoint_subset, "MIN_ENDPOINT_COUNT", 10**9)
-    assert with_subset >= max(280, answered_without_own_zone(requests=300))
+    assert with_subset >= max(280, answered_without_own_zone(request_count=300))
 
 
 def test_an_endpoint_of_the_subset_is_used_in_slow_start() -> None:
-    """Few nodes use it, so that each may send it more than an even part of its own requests."""
-    used = sorted(targets(node_before(3200), 3000))
-    node = node_before(3200, slow_start_initial_ratio=0.5, slow_start_duration_ns=60 * SECOND)
-    for _ in range(250):  # 5 s, in which the rate of warm endpoints is measured
+    """Few nodes use the endpoint, so each may send it more than an even part of its requests."""
+    used = sorted(used_endpoints(node_with_endpoints(3200), 3000))
+    node = node_with_endpoints(3200, slow_start_initial_ratio=0.5, slow_start_duration_ns=60 * SECOND)
+    for _ in range(250):  # 5 s, to measure the request rate of warm endpoints
         node.serve(0, elapsed=MS)
         node.wait(20 * MS)
-    by_id = {one.id: one for one in map(entry, range(3200))}
-    cold = by_id[used[0]]._replace(started_at_ns=node.now)
-    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (cold,)))
-    got = 0
+    by_id = {endpoint.id: endpoint for endpoint in map(entry, range(3200))}
+    warming_endpoint = by_id[used[0]]._replace(started_at_ns=node.now)
+    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (warming_endpoint,)))
+    request_count = 0
     for _ in range(1500):  # 30 s
-        got += node.serve(0, elapsed=MS) == cold.id
+        request_count += node.serve(0, elapsed=MS) == warming_endpoint.id
         node.wait(20 * MS)
-    assert 3 <= got <= 1500 / len(used)
+    assert 3 <= request_count <= 1500 / len(used)
 
 
 PLAN = Plan(
@@ -183,7 +190,9 @@
     plans = [replace(PLAN, seed=seed) for seed in (1, 2)]
     with_subsets = [play(plan) for plan in plans]
     monkeypatch.setattr(endpoint_subset, "MIN_ENDPOINT_COUNT", 10**9)
-    without = [play(plan) for plan in plans]
+    without_subsets = [play(plan) for plan in plans]
     assert all(report.excess <= 1.0 for report in with_subsets)
-    assert sum(one.served for one in with_subsets) >= 0.97 * sum(one.served for one in without)
-    assert sum(one.used for one in with_subsets) >= 0.9 * sum(one.used for one in without)
+    assert sum(result.served for result in with_subsets) >= 0.97 * sum(
+        result.served for result in without_subsets
+    )
+    assert sum(result.used for result in with_subsets) >= 0.9 * sum(result.used for result in without_subsets)
--- a/tests/policy/test_rare_conditions.py
+++ b/tests/policy/test_rare_conditions.py
@@ -1,4 +1,4 @@
-"""Decisions where two rare conditions meet: restarts, trials, types without reports, extreme settings."""
+"""Combinations of rare conditions: restarts, trials, hardware types without reports, extreme settings."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 RESTARTED_AFTER_NS = SECOND
 
 
-def restarted(node: Node) -> api.Endpoint:
-    """Tell a node that its first endpoint has restarted."""
+def restart_first_endpoint(node: Node) -> api.Endpoint:
+    """Notify a node that its first endpoint has restarted, and return the new entry."""
     node.now += RESTARTED_AFTER_NS
     status = node.balancer._endpoints.ready[0]
     endpoint = status.endpoint._replace(started_at_ns=node.now)
@@ -22,19 +22,19 @@
 
 
 def test_a_restarted_endpoint_inherits_nothing_of_the_process_before() -> None:
-    """The node gives it new connections, and its load is that of a new process."""
+    """A restart closes the connections of an endpoint and resets its load, so the node must reset both."""
     node = Node(settings(load_report_fields=("utilization",)), servers=1)
-    send = node.ask()[-1]
-    assert isinstance(send, api.Forward)
-    node.end(send, api.AttemptResult.OK, report=(0.9,))
+    forward = node.ask()[-1]
+    assert isinstance(forward, api.Forward)
+    node.end(forward, api.AttemptResult.OK, report=(0.9,))
     status = node.balancer._endpoints.ready[0]
     status.rejection_rates[0] = 0.8
-    restarted(node)
+    restart_first_endpoint(node)
     assert (status.idle_since_ns, status.utilization, status.rejection_rates) == ([], 0.0, {})
 
 
 def test_an_attempt_from_before_an_ejection_does_not_end_its_trial() -> None:
-    """The trial alone decides."""
+    """Only the result of the trial decides on the reinstatement of an ejected endpoint."""
     node = Node(settings(max_attempts=1), servers=1)
     outliers = node.balancer._outliers
     status = node.balancer._endpoints.ready[0]
@@ -48,31 +48,32 @@
 
 
 def test_a_hardware_type_that_has_left_does_not_stop_the_others_from_adapting() -> None:
-    types = HardwareTypes()
+    hardware_types = HardwareTypes()
     for _ in range(10 * MIN_REPORT_COUNT):
-        types.record_utilization(0, 0.9, is_reported=True)
-        types.record_utilization(1, 0.3, is_reported=True)
-    types.record_utilization(2, 0.5, is_reported=True)  # its only endpoint is removed now
-    types.update_ratios()
-    assert types.by_type[0].hash_ratio < types.by_type[1].hash_ratio
+        hardware_types.record_utilization(0, 0.9, is_reported=True)
+        hardware_types.record_utilization(1, 0.3, is_reported=True)
+    # The only endpoint of type 2 is removed after one report.
+    hardware_types.record_utilization(2, 0.5, is_reported=True)
+    hardware_types.update_ratios()
+    assert hardware_types.by_type[0].hash_ratio < hardware_types.by_type[1].hash_ratio
 
 
 @pytest.mark.parametrize("interval_ns", [0, 1])
 def test_failing_polls_have_pauses_whatever_the_interval(interval_ns: int) -> None:
-    rules = settings(discovery_mode=api.DiscoveryMode.POLL, poll_interval_ns=interval_ns)
-    balancer = Balancer(rules, 1)
+    node_settings = settings(discovery_mode=api.DiscoveryMode.POLL, poll_interval_ns=interval_ns)
+    balancer = Balancer(node_settings, 1)
     actions = balancer.start(START)
     polls_at_ns: list[int] = []
     timers: list[api.SetTimer] = []
-    now = START
-    while now < START + SECOND and len(polls_at_ns) < 200:
+    now_ns = START
+    while now_ns < START + SECOND and len(polls_at_ns) < 200:
         timers += [action for action in actions if isinstance(action, api.SetTimer)]
         if any(isinstance(action, api.WatchEndpoints) for action in actions):
-            polls_at_ns.append(now)
-            actions = balancer.handle(now, api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
+            polls_at_ns.append(now_ns)
+            actions = balancer.handle(now_ns, api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))
             continue
         timer = min(timers)
         timers.remove(timer)
-        now = max(now, timer.at_ns)
-        actions = balancer.handle(now, api.TimerFired(timer.timer_id))
+        now_ns = max(now_ns, timer.at_ns)
+        actions = balancer.handle(now_ns, api.TimerFired(timer.timer_id))
     assert len(polls_at_ns) < SECOND // (5 * MS)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""Invariants over generated legal sequences of events, for all shapes of settings."""
+"""Property tests: the rules hold for generated sequences of valid events, with many kinds of settings."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from moleport.policy.slow_start import SlowStart
 from moleport.policy.state import ActiveRequest
 
-SHAPES = st.fixed_dictionaries(
+SETTINGS_VALUES = st.fixed_dictionaries(
     {
         "discovery_mode": st.sampled_from(api.DiscoveryMode),
         "tenants": st.sampled_from([(), (api.Tenant(0.7), api.Tenant(0.3))]),
@@ -33,16 +33,17 @@
 )
 
 
-def classes(group: api.DeduplicationScope) -> tuple[api.RequestClass, ...]:
+def classes(deduplication_scope: api.DeduplicationScope) -> tuple[api.RequestClass, ...]:
+    """Return classes with each kind of idempotency, with and without ordering by key."""
     return (
         api.RequestClass(300 * MS, 1.0, 0.0, api.Idempotency.IDEMPOTENT),
-        api.RequestClass(300 * MS, 5.0, 0.2, api.Idempotency.IDEMPOTENCY_KEY, group, 700 * MS),
+        api.RequestClass(300 * MS, 5.0, 0.2, api.Idempotency.IDEMPOTENCY_KEY, deduplication_scope, 700 * MS),
         api.RequestClass(200 * MS, 9.0, 0.0, api.Idempotency.NOT_IDEMPOTENT, ordered_by_key=True),
         api.RequestClass(600 * MS, 2.0, 0.0, api.Idempotency.IDEMPOTENT, ordered_by_key=True),
     )
 
 
-# Hypothesis would derive other examples from each new wording of the test below.
+# A fixed seed, as Hypothesis derives other examples whenever the source of the test below changes.
 EXAMPLES_SEED = int(
     "26500558258032604731594344423635167099209710417810097450237825447128656330694098518800099633692705201"
     "558579182558686"
@@ -51,25 +52,27 @@
 
 @hypothesis_seed(EXAMPLES_SEED)
 @hypothesis_settings(max_examples=150, deadline=None, database=None)
-@given(SHAPES, st.sampled_from(api.DeduplicationScope), st.booleans(), st.integers(0, 1 << 32))
+@given(SETTINGS_VALUES, st.sampled_from(api.DeduplicationScope), st.booleans(), st.integers(0, 1 << 32))
 def test_the_rules_hold(
-    shape: dict[str, object], group: api.DeduplicationScope, stream: bool, seed: int
+    changes: dict[str, object], deduplication_scope: api.DeduplicationScope, has_stream: bool, seed: int
 ) -> None:
-    rules = settings(classes=classes(group), **shape)
-    Game(Balancer(rules, seed), rules, Random(seed), stream).play(steps=250)
+    node_settings = settings(classes=classes(deduplication_scope), **changes)
+    Game(Balancer(node_settings, seed), node_settings, Random(seed), has_stream).play(steps=250)
 
 
-def test_the_rules_hold_where_a_sole_node_meets_two_servers_that_have_just_started() -> None:
-    rules = settings(classes=classes(api.DeduplicationScope.ALL), max_attempts=1, sends_retry_after=False)
-    Game(Balancer(rules, 61932), rules, Random(61932)).play(steps=250)
+def test_the_rules_hold_for_a_single_node_with_two_endpoints_that_have_just_started() -> None:
+    node_settings = settings(
+        classes=classes(api.DeduplicationScope.ALL), max_attempts=1, sends_retry_after=False
+    )
+    Game(Balancer(node_settings, 61932), node_settings, Random(61932)).play(steps=250)
 
 
-SEQUENCES = 3000
-SEQUENCES_EACH = 500  # in one test
+SEQUENCE_COUNT = 3000
+SEQUENCES_PER_TEST = 500
 
 
-def random_shape(random: Random) -> dict[str, object]:
-    """Return settings of any of the shapes above."""
+def random_changes(random: Random) -> dict[str, object]:
+    """Return random settings out of the values in SETTINGS_VALUES."""
     return {
         "discovery_mode": random.choice(list(api.DiscoveryMode)),
         "tenants": random.choice([(), (api.Tenant(0.7), api.Tenant(0.3))]),
@@ -83,60 +86,61 @@
 
 
 def play_sequence(seed: int) -> None:
+    """Check the rules on one generated sequence of events, with random settings."""
     random = Random(seed)
-    shape = random_shape(random)
-    group = random.choice(list(api.DeduplicationScope))
-    streams = random.random() < 0.5
-    rules = settings(classes=classes(group), **shape)
-    Game(Balancer(rules, seed), rules, Random(seed), streams).play(steps=250)
+    changes = random_changes(random)
+    deduplication_scope = random.choice(list(api.DeduplicationScope))
+    has_stream = random.random() < 0.5
+    node_settings = settings(classes=classes(deduplication_scope), **changes)
+    Game(Balancer(node_settings, seed), node_settings, Random(seed), has_stream).play(steps=250)
 
 
 @pytest.mark.parametrize("seed", [4523, 10831, 14343])
-def test_a_queued_request_whose_client_leaves_as_it_falls_due_gets_no_answer(seed: int) -> None:
+def test_a_queued_request_whose_client_disconnects_as_it_is_due_gets_no_answer(seed: int) -> None:
     play_sequence(seed)
 
 
-@pytest.mark.parametrize("first", range(0, SEQUENCES, SEQUENCES_EACH))
-def test_the_rules_hold_over_a_range_of_seeds(first: int) -> None:
-    broken = {}
-    for seed in range(first, first + SEQUENCES_EACH):
+@pytest.mark.parametrize("first_seed", range(0, SEQUENCE_COUNT, SEQUENCES_PER_TEST))
+def test_the_rules_hold_over_a_range_of_seeds(first_seed: int) -> None:
+    broken_rules = {}
+    for seed in range(first_seed, first_seed + SEQUENCES_PER_TEST):
         try:
             play_sequence(seed)
         except RuleBrokenError as error:
-            broken[seed] = str(error)
-    assert not broken
+            broken_rules[seed] = str(error)
+    assert not broken_rules
 
 
-def broken_rule(rules: api.Settings, games: int = 60) -> str:
-    """Return the rule that the checker finds broken over many generated sequences, or "none"."""
-    for seed in range(games):
+def broken_rule(node_settings: api.Settings, game_count: int = 60) -> str:
+    """Return the first rule that the checker finds broken in generated sequences, or "none"."""
+    for seed in range(game_count):
         try:
-            Game(Balancer(rules, seed), rules, Random(seed)).play(steps=250)
-        except RuleBrokenError as broken:
-            return str(broken).split(":")[0]
+            Game(Balancer(node_settings, seed), node_settings, Random(seed)).play(steps=250)
+        except RuleBrokenError as error:
+            return str(error).split(":")[0]
     return "none"
 
 
-RULES = settings(classes=classes(api.DeduplicationScope.CELL), key_cooldown_ns=400 * MS)
+SETTINGS = settings(classes=classes(api.DeduplicationScope.CELL), key_cooldown_ns=400 * MS)
 
 
 def test_checker_accepts_the_module() -> None:
-    assert broken_rule(RULES) == "none"
+    assert broken_rule(SETTINGS) == "none"
 
 
 def test_checker_detects_a_request_without_a_final_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(FinalAnswers, "finish", lambda self, active: None)
-    assert broken_rule(RULES) == "lost"
+    assert broken_rule(SETTINGS) == "lost"
 
 
 def test_checker_detects_a_duplicate_execution(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ActiveRequest, "may_send_to", lambda self, endpoint, now_ns: True)
-    assert broken_rule(RULES) == "duplicate"
+    assert broken_rule(SETTINGS) == "duplicate"
 
 
 def test_checker_detects_an_unsafe_rejection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ActiveRequest, "may_reject", lambda self: True)
-    assert broken_rule(RULES) == "duplicate"
+    assert broken_rule(SETTINGS) == "duplicate"
 
 
 def test_checker_detects_requests_to_a_draining_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -146,12 +150,12 @@
         add_or_update(self, now_ns, endpoint._replace(state=api.EndpointState.READY))
 
     monkeypatch.setattr(EndpointRegistry, "add_or_update", add_all_as_ready)
-    assert broken_rule(RULES) == "drain"
+    assert broken_rule(SETTINGS) == "drain"
 
 
 def test_checker_detects_overload_of_an_endpoint_in_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "capacity_ratio", lambda self, now_ns, endpoint: 1.0)
-    assert broken_rule(RULES) == "cold"
+    assert broken_rule(SETTINGS) == "cold"
 
 
 def test_checker_detects_concurrent_requests_of_an_ordered_key(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -159,12 +163,12 @@
         return self._send_first(now_ns, active)
 
     monkeypatch.setattr(KeyOrdering, "enqueue", send_at_once)
-    assert broken_rule(RULES) == "order"
+    assert broken_rule(SETTINGS) == "order"
 
 
 def test_checker_detects_a_missing_key_cooldown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(KeyOrdering, "cool_down", lambda self, now_ns, active, result: None)
-    assert broken_rule(RULES) == "order"
+    assert broken_rule(SETTINGS) == "order"
 
 
 def test_checker_detects_two_attempts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -178,12 +182,12 @@
                 self._send_first(now_ns, active)
 
     monkeypatch.setattr(Balancer, "_on_attempt_outcome", send_again)
-    assert broken_rule(RULES) == "duplicate"
+    assert broken_rule(SETTINGS) == "duplicate"
 
 
 def test_key_queues_are_empty_once_all_requests_are_complete() -> None:
-    balancer = Balancer(RULES, 3)
-    game = Game(balancer, RULES, Random(3))
+    balancer = Balancer(SETTINGS, 3)
+    game = Game(balancer, SETTINGS, Random(3))
     game.play(steps=400)
     game._pass(5_000 * MS)
     assert (
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Slow start over a whole fleet: endpoints are neither overloaded nor starved."""
+"""Slow start of endpoints under the load of a whole fleet: neither overloaded nor without requests."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
-# Overload multiple, overload window, initial ratio and duration of slow start.
+# Each tuple is overload multiple, overload window, initial ratio and duration of slow start.
 STRICT = (1.5, 1500 * MS, 0.5, 5 * SECOND)
 LONG = (2.0, 3 * SECOND, 0.15, 20 * SECOND)
 BRIEF = (3.0, 1500 * MS, 0.3, 3 * SECOND)
 LOOSE = (4.0, 3 * SECOND, 0.3, 8 * SECOND)
 
 
-def plan(nodes: int, limits: tuple[float, int, float, int], lost: float, utilisation: float) -> Plan:
-    """Return a plan in which endpoints come back in steps under the load of all.
+def plan(nodes: int, limits: tuple[float, int, float, int], lost: float, utilization: float) -> Plan:
+    """Return a plan in which lost endpoints restart in steps, under the load of the whole fleet.
 
-    They reject what they can't queue. Some nodes start anew as the endpoints return.
+    Endpoints reject the requests that they can't queue. Some nodes restart while the endpoints do.
     """
-    small = Plan(
+    small_plan = Plan(
         nodes,
         20,
-        utilisation,
+        utilization,
         *limits,
         lost,
         cores=2,
@@ -39,69 +39,70 @@
         watched=SECOND,
     )
     if nodes < 100:
-        return small
-    return replace(small, servers=20, capacity=20.0, cores=1, warm_up=3 * SECOND, steps=4, watched=SECOND)
+        return small_plan
+    return replace(
+        small_plan, servers=20, capacity=20.0, cores=1, warm_up=3 * SECOND, steps=4, watched=SECOND
+    )
 
 
-@pytest.mark.parametrize("utilisation", (0.6, 0.9))
+@pytest.mark.parametrize("utilization", (0.6, 0.9))
 @pytest.mark.parametrize("lost", (0.5, 0.9))
 @pytest.mark.parametrize(
     ("nodes", "limits"),
     ((3, LOOSE), (3, STRICT), (20, STRICT), (20, BRIEF), (30, STRICT), (30, LONG), (200, STRICT)),
 )
 def test_all_nodes_together_keep_the_slow_start_limit(
-    nodes: int, limits: tuple[float, int, float, int], lost: float, utilisation: float
+    nodes: int, limits: tuple[float, int, float, int], lost: float, utilization: float
 ) -> None:
-    report = play(plan(nodes, limits, lost, utilisation))
+    report = play(plan(nodes, limits, lost, utilization))
     assert report.cold == round(lost * 20)
     assert report.excess <= 1.0, report
 
 
-def test_second_loss_causes_no_burst_of_saved_tokens() -> None:
-    """The tokens that many nodes save for one endpoint add up to many requests."""
+def test_second_loss_causes_no_burst_of_accumulated_tokens() -> None:
+    """Guards against a burst of the tokens that many nodes have accumulated for the same endpoint."""
     for nodes, lost in ((30, 0.5), (200, 0.1)):
-        one = plan(nodes, STRICT, lost, 0.9)
-        assert play(replace(one, steps=1, watched=5 * SECOND, lost_later=0.9 - lost)).excess <= 1.0
+        base_plan = plan(nodes, STRICT, lost, 0.9)
+        assert play(replace(base_plan, steps=1, watched=5 * SECOND, lost_later=0.9 - lost)).excess <= 1.0
 
 
 @pytest.mark.parametrize(("nodes", "lost"), ((20, 0.5), (200, 0.5), (200, 0.1)))
 def test_endpoints_in_slow_start_are_used_by_many_nodes_with_little_traffic(nodes: int, lost: float) -> None:
-    """A node that selects each endpoint seldom must not earn its first token only when that is warm.
+    """Guards against nodes that select an endpoint so seldom that it is warm before they have a token for it.
 
-    At the utilization of warm endpoints, those in slow start would be used at 0.6 of their capacity.
+    Endpoints in slow start would be used at 0.6 of their capacity if they had the utilization of warm ones.
     """
-    one = replace(plan(nodes, STRICT, lost, 0.6), steps=1, watched=5 * SECOND)
-    plays = [
-        play(replace(one, seed=seed)).used for seed in (1, 2, 3)
-    ]  # two endpoints in slow start alone vary too much
-    assert sum(plays) / len(plays) > 0.3, plays
+    base_plan = replace(plan(nodes, STRICT, lost, 0.6), steps=1, watched=5 * SECOND)
+    # The mean of three seeds, as the result for two endpoints in slow start varies too much.
+    used_ratios = [play(replace(base_plan, seed=seed)).used for seed in (1, 2, 3)]
+    assert sum(used_ratios) / len(used_ratios) > 0.3, used_ratios
 
 
 def test_new_node_uses_a_fleet_that_is_all_in_slow_start() -> None:
-    """Without a measured request rate of warm endpoints, the node's arrivals stand in for it."""
-    cold = tuple(server(number, started=START) for number in range(6))
+    """The arrival rate of the node is used until the request rate of warm endpoints has been measured."""
+    warming_endpoints = tuple(server(number, started=START) for number in range(6))
     node = Node(settings(slow_start_initial_ratio=0.3, slow_start_duration_ns=8 * SECOND), servers=0)
-    node.tell(whole(*cold))
-    sent = []
-    for _ in range(200):  # 4 s at 50 requests a second
+    node.tell(whole(*warming_endpoints))
+    sent_flags = []
+    for _ in range(200):  # 4 s at 50 requests per second
         actions = node.ask()
-        sent.append(isinstance(actions[-1], api.Forward))
+        sent_flags.append(isinstance(actions[-1], api.Forward))
         node.wait(10 * MS)
-        if sent[-1]:
+        if sent_flags[-1]:
             node.end(actions[-1], AttemptResult.OK)
         node.wait(10 * MS)
-    assert 0.2 < sum(sent[50:100]) / 50 < 0.6  # after 1 to 2 s the capacity ratio is 0.4 to 0.5
-    assert 0.4 < sum(sent[150:]) / 50 < 0.8
+    assert 0.2 < sum(sent_flags[50:100]) / 50 < 0.6  # after 1 to 2 s the capacity ratio is 0.4 to 0.5
+    assert 0.4 < sum(sent_flags[150:]) / 50 < 0.8
 
 
 @pytest.mark.parametrize("result", [AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.REJECTED])
-def test_an_endpoint_of_unknown_capacity_that_fails_gets_three_requests_in_a_window(
+def test_a_failing_endpoint_of_unknown_capacity_gets_three_requests_per_window(
     result: AttemptResult,
 ) -> None:
-    """The arrivals say nothing of what it can carry; only its successes do."""
+    """Arrivals are no evidence of the capacity of an endpoint; only successful answers are."""
     window_ns = 1500 * MS
-    rules = settings(slow_start_initial_ratio=0.9, max_attempts=1, overload_window_ns=window_ns)
-    node = Node(rules, servers=0)
+    node_settings = settings(slow_start_initial_ratio=0.9, max_attempts=1, overload_window_ns=window_ns)
+    node = Node(node_settings, servers=0)
     node.tell(whole(server(0, started=START)))
     sent_at_ns = []
     for _ in range(400):
