--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -84,7 +84,7 @@
             self._deferred,
             actions,
             self._send_first,
-            self._abandon_unsent,
+            self._finish_unsent,
         )
 
     def start(self, now_ns: int) -> list[api.Action]:
@@ -102,7 +102,7 @@
         """Return the actions for an event; `now_ns` must not decrease from one event to the next."""
         self._actions.pending = []
         if isinstance(event, api.ClientDisconnected):
-            self._close(event)  # before deferred tasks, which send final answers to open requests
+            self._mark_closed(event)  # before deferred tasks, which send final answers to open requests
         self._deferred.run_due(now_ns)
         if isinstance(event, api.Request):
             self._on_request(now_ns, event)
@@ -157,7 +157,7 @@
             self._admission.record_response(now_ns, active, attempt, outcome.elapsed_ns, is_retried)
         if not active.is_closed and not is_retried:
             self._final_answers.finish(active)
-        self._forget_if_complete(now_ns, active)
+        self._remove_if_complete(now_ns, active)
 
     def _on_timer(self, now_ns: int, timer_id: int) -> None:
         if timer_id == TimerId.WINDOW_END:
@@ -177,7 +177,7 @@
         if not self._endpoints.ready:
             self._poller.on_empty_list(now_ns)
 
-    def _close(self, event: api.ClientDisconnected) -> None:
+    def _mark_closed(self, event: api.ClientDisconnected) -> None:
         active = self._active_requests.get(event.request_id)
         if active is not None:
             active.is_closed |= not event.is_half_closed
@@ -186,7 +186,7 @@
         active = self._active_requests.get(event.request_id)
         if active is not None:
             active.answer_deadline_ns = now_ns
-            self._abandon_unsent(active, now_ns)
+            self._finish_unsent(active, now_ns)
 
     def _end_window(self, now_ns: int) -> None:
         self._admission.end_window(now_ns)
@@ -253,13 +253,13 @@
         self._rejection_rates.record(status, class_index, result)
         self._outliers.on_attempt_ended(now_ns, status, result)
 
-    def _abandon_unsent(self, active: ActiveRequest, now_ns: int) -> None:
+    def _finish_unsent(self, active: ActiveRequest, now_ns: int) -> None:
         """Send the final answer of a request that is open and was never sent to an endpoint."""
         if not active.attempts and not active.is_closed:
             self._final_answers.finish(active)
-        self._forget_if_complete(now_ns, active)
+        self._remove_if_complete(now_ns, active)
 
-    def _forget_if_complete(self, now_ns: int, active: ActiveRequest) -> None:
+    def _remove_if_complete(self, now_ns: int, active: ActiveRequest) -> None:
         if not active.is_complete():
             return
         if self._active_requests.pop(active.request.id, None) is not None:
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -46,7 +46,9 @@
         self._idle_timeout_ns = idle_timeout_ns
         self._actions = actions
         self.loss_rate = 0.0
+        """Fraction of lost attempts on fresh connections, 0 to 1."""
         self.connect_failure_rate = 0.0
+        """Fraction of new connections that failed, 0 to 1."""
         self._idle_loss_rate = 0.0
         self._idle_bound_ns = 0  # idle time up to which connections are reused, before doublings
         self._idle_bound_set_at_ns = 0  # when the bound was last set; 0: never
--- a/moleport/policy/endpoint_registry.py
+++ b/moleport/policy/endpoint_registry.py
@@ -3,8 +3,8 @@
 A cached list or a snapshot removes the endpoints that it does not contain; a delta changes only the endpoints
 that it contains. Only ready endpoints are candidates for requests. A new or restarted endpoint starts without
 failures and with the initial tokens of slow start. Weights outside the range of the hash table are clamped; a
-weight that is not a positive finite number counts as 1. The cost of an update grows with the number of
-entries that changed, not with the length of the list.
+weight that is not a positive finite number counts as 1. Apart from reading its entries, the cost of an update
+grows with the number of entries that changed, not with the length of the list.
 """
 
 from __future__ import annotations
@@ -82,10 +82,10 @@
         for status in changed:
             was_ready = status.is_ready
             if was_ready:
-                self._stop_counting(status)
+                self._remove_ready(status)
             status.is_ready = status.endpoint.state is EndpointState.READY
             if status.is_ready:
-                self._start_counting(status)
+                self._add_ready(status)
             if status.is_ready and not was_ready:
                 added.append(status)
             elif was_ready and not status.is_ready:
@@ -96,15 +96,15 @@
         self._insert_ready(added)
         self._update_candidates(changed)
 
-    def _start_counting(self, status: EndpointStatus) -> None:
+    def _add_ready(self, status: EndpointStatus) -> None:
         self._load_reports.add_ready(status)
         self._slow_start.add_ready(status)
         self._outliers.track(status)
 
-    def _stop_counting(self, status: EndpointStatus) -> None:
+    def _remove_ready(self, status: EndpointStatus) -> None:
         self._load_reports.remove_ready(status)
         self._slow_start.remove_ready(status)
-        self._outliers.forget(status)
+        self._outliers.untrack(status)
 
     def _insert_ready(self, added: list[EndpointStatus]) -> None:
         ready = self._endpoints.ready
--- a/moleport/policy/endpoint_subset.py
+++ b/moleport/policy/endpoint_subset.py
@@ -109,8 +109,8 @@
         self._ring = self._own_zone_ring = Ring([])
         self._arc = self._own_zone_arc = Arc(self._ring, 0.0, 0.0, 1.0)
 
-    def is_narrow(self) -> bool:
-        """Return whether the node needs fewer endpoints than are ready."""
+    def is_proper_subset(self) -> bool:
+        """Return whether the node uses fewer endpoints than are ready."""
         return len(self._endpoints.ready) > self._width()
 
     def on_keyless_request(self) -> None:
@@ -124,7 +124,7 @@
             ratio = self._keyless_count / request_count
             self._keyless_ratio += KEYLESS_EWMA_WEIGHT * (ratio - self._keyless_ratio)
         self._keyless_count = 0
-        if self.is_narrow():
+        if self.is_proper_subset():
             self._update_arcs()
 
     def draw(self, random: Random, prefer_own_zone: bool) -> EndpointStatus:
@@ -138,7 +138,7 @@
 
     def concentration(self, status: EndpointStatus) -> float:
         """Return the share of requests that an endpoint gets, as a multiple of an even spread by weight."""
-        if not self._keyless_ratio or not self.is_narrow():
+        if not self._keyless_ratio or not self.is_proper_subset():
             return 1.0
         self._update_rings()
         own_zone_ratio = 0.0
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -267,21 +267,21 @@
             return  # the grid is about to be rebuilt
         mask = self._mask
         freed = claim.slot(claim.probe, mask)
-        self._forget_displacements(claim, 0)
+        self._remove_displacements(claim, 0)
         while displaced := self._displaced.get(freed):
             successor = min(displaced, key=lambda other: other.rank)
             vacated = successor.slot(successor.probe, mask)
             probe = next(
                 earlier for earlier in range(successor.probe) if successor.slot(earlier, mask) == freed
             )
-            self._forget_displacements(successor, probe)
+            self._remove_displacements(successor, probe)
             successor.probe = probe
             self._slots[freed] = successor
             freed = vacated
         del self._slots[freed]
         self._set_occupied(freed, 0)
 
-    def _forget_displacements(self, claim: Claim[T], first_probe: int) -> None:
+    def _remove_displacements(self, claim: Claim[T], first_probe: int) -> None:
         """Remove a claim from the lists of displaced claims, from `first_probe` of its sequence on."""
         for probe in range(first_probe, claim.probe):
             slot = claim.slot(probe, self._mask)
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -57,7 +57,7 @@
             self._scale /= decay_ratio
         else:
             self._counts, self._count_heap, self._scale, self._total = {}, [], 1.0, 0.0
-        self._forget_rare_keys()
+        self._remove_rare_keys()
         if self._scale > MAX_SCALE_FACTOR:
             self._reset_scale()
 
@@ -72,7 +72,7 @@
         self.fan_out = fan_out
         self._repeated_keys.clear()
 
-    def _forget_rare_keys(self) -> None:
+    def _remove_rare_keys(self) -> None:
         min_count = MIN_REMEMBERED_REQUESTS * self._scale
         heap = self._count_heap
         while heap and heap[0][0] < min_count:
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -254,7 +254,7 @@
 
     request_id: int
     is_answered: bool
-    """Whether the client has received its final answer."""
+    """Whether the client has its final answer."""
     result: AttemptResult
     elapsed_ns: int
     endpoint_id: EndpointId
@@ -267,7 +267,7 @@
 class ClientDisconnected(NamedTuple):
     """Event: the client has disconnected; its request gets no further attempt and no final answer.
 
-    Also emitted when the node itself ends the request: at its deadline, at shutdown or after a fault.
+    Also sent when the node itself ends the request: at its deadline, at shutdown or after a fault.
     """
 
     request_id: int
--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -56,12 +56,12 @@
         deferred: DeferredTasks,
         actions: ActionBuffer,
         send_first: Callable[[int, ActiveRequest], bool],
-        abandon_unsent: Callable[[ActiveRequest, int], None],
+        finish_unsent: Callable[[ActiveRequest, int], None],
     ) -> None:
         """Create the queues, with references to shared state and two operations of the balancer.
 
         `send_first` sends the first attempt of a request and returns whether that was possible.
-        `abandon_unsent` sends the final answer of a request that has no attempts.
+        `finish_unsent` sends the final answer of a request that has no attempts.
         """
         self._key_cooldown_ns = key_cooldown_ns
         self._active_requests = active_requests
@@ -70,7 +70,7 @@
         self._deferred = deferred
         self._actions = actions
         self._send_first = send_first
-        self._abandon_unsent = abandon_unsent
+        self._finish_unsent = finish_unsent
         self._queues: dict[int, KeyQueue] = {}  # by key
 
     def enqueue(self, now_ns: int, active: ActiveRequest) -> bool:
@@ -107,7 +107,7 @@
         if max(now_ns, queue.cooldown_until_ns) + open_ahead_count * typical_response_ns > latest_ns:
             return False
         self._active_requests[active.request.id] = active
-        self._deferred.defer(latest_ns, partial(self._abandon_unsent, active))
+        self._deferred.defer(latest_ns, partial(self._finish_unsent, active))
         self._actions.emit(api.SetTimer(latest_ns, api.TimerId.DEFERRED))
         return True
 
--- a/moleport/policy/load_reports.py
+++ b/moleport/policy/load_reports.py
@@ -38,11 +38,11 @@
     def on_success(self, status: EndpointStatus) -> None:
         """Assume that an endpoint which answered is idle, if endpoints report no utilization."""
         if not self._has_utilization:
-            self._set(status, 0.0)
+            self._set_utilization(status, 0.0)
 
     def on_timeout(self, status: EndpointStatus) -> None:
         """Assume that an endpoint which did not answer is fully utilized."""
-        self._record(status, 1.0)
+        self._record_utilization(status, 1.0)
 
     def on_report(self, status: EndpointStatus, report: tuple[float, ...]) -> None:
         """Record the utilization in a load report, if the report contains it."""
@@ -50,7 +50,7 @@
             return
         values = dict(zip(self._fields, report, strict=False))
         if UTILIZATION in values:
-            self._record(status, min(1.0, max(0.0, values[UTILIZATION])))
+            self._record_utilization(status, min(1.0, max(0.0, values[UTILIZATION])))
 
     def add_ready(self, status: EndpointStatus) -> None:
         """Add the utilization of an endpoint that has become ready to the sum."""
@@ -60,12 +60,12 @@
         """Subtract the utilization of an endpoint that is no longer ready from the sum."""
         self._total_units -= int(status.utilization * UTILIZATION_UNITS)
 
-    def _record(self, status: EndpointStatus, utilization: float) -> None:
-        self._set(status, utilization)
+    def _record_utilization(self, status: EndpointStatus, utilization: float) -> None:
+        self._set_utilization(status, utilization)
         hardware_type = status.endpoint.hardware_type
         self._hardware_types.record_utilization(hardware_type, utilization, self._has_utilization)
 
-    def _set(self, status: EndpointStatus, utilization: float) -> None:
+    def _set_utilization(self, status: EndpointStatus, utilization: float) -> None:
         if status.is_ready:
             units = int(utilization * UTILIZATION_UNITS)
             self._total_units += units - int(status.utilization * UTILIZATION_UNITS)
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -164,7 +164,7 @@
                 (status.failure_rate, status.endpoint.id) for status in self.ejected
             )
 
-    def forget(self, status: EndpointStatus) -> None:
+    def untrack(self, status: EndpointStatus) -> None:
         """Remove an endpoint that is no longer ready from `ejected`; its ejection does not end."""
         self.ejected.pop(status, None)
 
--- a/moleport/policy/selection.py
+++ b/moleport/policy/selection.py
@@ -107,7 +107,7 @@
         if not ready:
             return
         key = active.request.key or self._random.getrandbits(KEY_BITS)
-        if not active.request.key and self._subset.is_narrow():
+        if not active.request.key and self._subset.is_proper_subset():
             yield from self._subset_candidates()
         else:
             yield from self._hashed_candidates(key)
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -109,11 +109,11 @@
         earned = fill_rate * (now_ns - status.slow_start_refilled_at_ns)
         status.slow_start_tokens = min(MAX_TOKEN_COUNT, status.slow_start_tokens + earned)
         status.slow_start_refilled_at_ns = now_ns
-        if status.slow_start_tokens < 1.0 or self._is_unproven_and_busy(now_ns, status):
+        if status.slow_start_tokens < 1.0 or self._has_reached_unproven_limit(now_ns, status):
             return False
         return self._random.random() < self._burst_ratio
 
-    def _is_unproven_and_busy(self, now_ns: int, status: EndpointStatus) -> bool:
+    def _has_reached_unproven_limit(self, now_ns: int, status: EndpointStatus) -> bool:
         """Return whether UNPROVEN_COUNT recent requests went to an endpoint of unknown capacity."""
         if self._warm_request_rate or status.success_streak >= UNPROVEN_COUNT:
             return False
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -330,7 +330,7 @@
 
 
 def test_endpoints_that_reject_one_class_still_get_other_classes() -> None:
-    """Guards against rejections that look like low load, attract the class and close its circuit breaker."""
+    """Guards against fast rejections that look like low load, attract the class and lower its cap."""
     node = Node(servers=6)
     rejecting_ids = {server(number).id for number in range(3)}
     for status in node.balancer._endpoints.by_id.values():
@@ -563,7 +563,7 @@
     ejected_status.failure_rate += 0.1
     for _ in range(3):
         node.balancer._record_result(node.now, failing_status, AttemptResult.ERROR, 0)
-        assert not failing_status.ejected_until_ns  # its failure rate does not exceed theirs by enough
+        assert not failing_status.ejected_until_ns  # it is not higher by the replacement margin
     for _ in range(3):
         node.balancer._record_result(node.now, failing_status, AttemptResult.ERROR, 0)
     assert failing_status.ejected_until_ns and ejected_status.ejected_until_ns
@@ -973,7 +973,7 @@
 
 
 def test_bound_on_the_idle_time_does_not_overflow() -> None:
-    """Guards against an overflow after 90 days, as the number of doublings is bounded."""
+    """Guards against an overflow after 90 days, from an unbounded number of doublings."""
     node = Node()
     lose_attempts_on_idle_connections(node, AttemptResult.RESET, range(1, 5))
     node.serve(5)
--- a/tests/policy/test_endpoint_subset.py
+++ b/tests/policy/test_endpoint_subset.py
@@ -120,9 +120,8 @@
     used_after = used_endpoints(node, 2000)
     assert not used_after & set(draining_ids)
     assert len(used_after) >= MIN_ENDPOINT_COUNT
-    assert len(used_after & used_before) >= 0.9 * len(
-        used_before - set(draining_ids)
-    )  # the rest of the subset stays in use
+    # The rest of the subset stays in use.
+    assert len(used_after & used_before) >= 0.9 * len(used_before - set(draining_ids))
 
 
 def answered_without_own_zone(request_count: int) -> int:
