--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -84,7 +84,7 @@
             self._deferred,
             actions,
             self._send_first,
-            self._abandon_unsent,
+            self._finish_unsent,
         )
 
     def start(self, now_ns: int) -> list[api.Action]:
@@ -102,7 +102,7 @@
         """Return the actions for an event; `now_ns` must not decrease from one event to the next."""
         self._actions.pending = []
         if isinstance(event, api.ClientDisconnected):
-            self._close(event)  # before deferred tasks, which send final answers to open requests
+            self._mark_closed(event)  # before deferred tasks, which send final answers to open requests
         self._deferred.run_due(now_ns)
         if isinstance(event, api.Request):
             self._on_request(now_ns, event)
@@ -127,10 +127,10 @@
             self._hot_keys.record(request.key)
         else:
             self._subset.on_keyless_request()
-        useful_until_ns = now_ns + request.remaining_ns
+        answer_deadline_ns = now_ns + request.remaining_ns
         if not request_class.late_weight_ratio:
-            useful_until_ns = min(useful_until_ns, now_ns + request_class.latency_objective_ns)
-        active = ActiveRequest(request, request_class, useful_until_ns)
+            answer_deadline_ns = min(answer_deadline_ns, now_ns + request_class.latency_objective_ns)
+        active = ActiveRequest(request, request_class, answer_deadline_ns)
         is_ordered = request_class.ordered_by_key and request.key
         send = self._key_ordering.enqueue if is_ordered else self._send_first
         if not self._admission.admits(now_ns, request) or not send(now_ns, active):
@@ -157,7 +157,7 @@
             self._admission.record_response(now_ns, active, attempt, outcome.elapsed_ns, is_retried)
         if not active.is_closed and not is_retried:
             self._final_answers.finish(active)
-        self._forget_if_complete(now_ns, active)
+        self._remove_if_complete(now_ns, active)
 
     def _on_timer(self, now_ns: int, timer_id: int) -> None:
         if timer_id == TimerId.WINDOW_END:
@@ -177,7 +177,7 @@
         if not self._endpoints.ready:
             self._poller.on_empty_list(now_ns)
 
-    def _close(self, event: api.ClientDisconnected) -> None:
+    def _mark_closed(self, event: api.ClientDisconnected) -> None:
         active = self._active_requests.get(event.request_id)
         if active is not None:
             active.is_closed |= not event.is_half_closed
@@ -185,8 +185,8 @@
     def _on_client_disconnected(self, now_ns: int, event: api.ClientDisconnected) -> None:
         active = self._active_requests.get(event.request_id)
         if active is not None:
-            active.useful_until_ns = now_ns
-            self._abandon_unsent(active, now_ns)
+            active.answer_deadline_ns = now_ns
+            self._finish_unsent(active, now_ns)
 
     def _end_window(self, now_ns: int) -> None:
         self._admission.end_window(now_ns)
@@ -223,7 +223,7 @@
 
     def _send(self, now_ns: int, active: ActiveRequest, status: EndpointStatus) -> None:
         idle_ns = self._connections.take_connection(now_ns, status)
-        timeout_ns = max(MIN_TIMEOUT_NS, active.useful_until_ns - now_ns)
+        timeout_ns = max(MIN_TIMEOUT_NS, active.answer_deadline_ns - now_ns)
         write_deadline_ns = active.write_deadline_ns()
         self._actions.emit(api.Forward(active.request.id, status.endpoint.id, timeout_ns, write_deadline_ns))
         active.attempts.append(AttemptRecord(status, now_ns, idle_ns))
@@ -253,13 +253,13 @@
         self._rejection_rates.record(status, class_index, result)
         self._outliers.on_attempt_ended(now_ns, status, result)
 
-    def _abandon_unsent(self, active: ActiveRequest, now_ns: int) -> None:
+    def _finish_unsent(self, active: ActiveRequest, now_ns: int) -> None:
         """Send the final answer of a request that is open and was never sent to an endpoint."""
         if not active.attempts and not active.is_closed:
             self._final_answers.finish(active)
-        self._forget_if_complete(now_ns, active)
+        self._remove_if_complete(now_ns, active)
 
-    def _forget_if_complete(self, now_ns: int, active: ActiveRequest) -> None:
+    def _remove_if_complete(self, now_ns: int, active: ActiveRequest) -> None:
         if not active.is_complete():
             return
         if self._active_requests.pop(active.request.id, None) is not None:
