--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,15 +14,15 @@
 from math import sqrt
 from random import Random
 
-from world import MS, SECOND, START, settings
+from world import MS_NS, SECOND_NS, START_NS, settings
 
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 from moleport.policy.interface import AttemptResult
 
-LATENCY_NS = MS  # one way
-CONNECT_TIMEOUT_NS = 60 * MS
-NOTIFICATION_DELAY_NS = 300 * MS  # maximum delay of a change; it is random for each node
+LATENCY_NS = MS_NS  # one way
+CONNECT_TIMEOUT_NS = 60 * MS_NS
+NOTIFICATION_DELAY_NS = 300 * MS_NS  # maximum delay of a change; it is random for each node
 KEY_COUNT = 5000
 
 
@@ -32,24 +32,26 @@
 
     nodes: int
     servers: int
-    utilisation: float  # of all servers, outside slow start
+    utilization: float  # of all servers, outside slow start
     overload_multiple: float
     overload_window_ns: int
     slow_start_initial_ratio: float
     slow_start_duration_ns: int
-    lost: float  # fraction of the servers that is removed, and added again in slow start
-    outage_ns: int = 1500 * MS
-    lost_later: float = 0.0  # fraction that is removed for good while the first are in slow start
+    lost_ratio: float  # fraction of the servers that is removed, and added again in slow start
+    outage_ns: int = 1500 * MS_NS
+    second_loss_ratio: float = 0.0  # fraction that is removed for good while the first are in slow start
     steps: int = 1  # in which the lost servers are added again
-    step_time: int = SECOND
-    latency_objectives_ns: tuple[int, int] = (200 * MS, 500 * MS)
-    deadlines_ns: tuple[int, int] = (400 * MS, 2500 * MS)
+    step_time: int = SECOND_NS
+    latency_objectives_ns: tuple[int, int] = (200 * MS_NS, 500 * MS_NS)
+    deadlines_ns: tuple[int, int] = (400 * MS_NS, 2500 * MS_NS)
     capacity: float = 40.0  # requests a second of a server outside slow start
     cores: int = 4  # requests that a server executes at the same time
-    queued: int = 16  # length of a server's queue; it rejects further requests
-    warm_up: int = 8 * SECOND
-    watched: int = 8 * SECOND  # measured time after the last step
-    restarted: float = 0.0  # fraction of the nodes that restart just before the servers are added again
+    queue_length: int = 16  # length of a server's queue; it rejects further requests
+    warm_up: int = 8 * SECOND_NS
+    measured_ns: int = 8 * SECOND_NS  # measured time after the last step
+    restarted_node_ratio: float = (
+        0.0  # fraction of the nodes that restart just before the servers are added again
+    )
     busy_node_ratio: float = 0.2  # of the nodes, which get more traffic
     busy_node_load_multiple: float = 4.0  # traffic of a busy node in relation to another one
     redistribution_interval_ns: int = 0  # after which other nodes become the busy ones; 0: never
@@ -82,7 +84,7 @@
     """The nodes, servers and requests of a run, with the queue of simulated events."""
 
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.random, self.now = plan, Random(plan.seed), START
+        self.plan, self.random, self.now = plan, Random(plan.seed), START_NS
         self.settings = settings(
             classes=(
                 api.RequestClass(plan.latency_objectives_ns[0], 3.0, 0.0, api.Idempotency.IDEMPOTENT),
@@ -162,7 +164,7 @@
             self.schedule(self.now + self.plan.redistribution_interval_ns, self._distribute_load)
 
     def _schedule_request(self) -> None:
-        rate = self.plan.utilisation * self.plan.capacity * self.plan.servers / SECOND
+        rate = self.plan.utilization * self.plan.capacity * self.plan.servers / SECOND_NS
         self.schedule(self.now + int(self.random.expovariate(rate)), self._send_request)
 
     def _send_request(self) -> None:
@@ -188,7 +190,7 @@
         node.attempts[forward.request_id] = number
         server, is_complete = self.servers[forward.endpoint_id], False
 
-        def end(result: AttemptResult) -> None:
+        def finish_attempt(result: AttemptResult) -> None:
             nonlocal is_complete
             if is_complete:
                 return
@@ -203,30 +205,32 @@
 
         def arrive() -> None:
             if not server.is_up:
-                self.schedule(sent_at + CONNECT_TIMEOUT_NS, lambda: end(AttemptResult.CONNECT_FAILED))
+                self.schedule(
+                    sent_at + CONNECT_TIMEOUT_NS, lambda: finish_attempt(AttemptResult.CONNECT_FAILED)
+                )
                 return
             server.arrivals.append(self.now)
             if server.busy_core_count < self.plan.cores:
                 work()
-            elif len(server.queue) < self.plan.queued:
+            elif len(server.queue) < self.plan.queue_length:
                 server.queue.append(work)
             else:
-                self.schedule(self.now + LATENCY_NS, lambda: end(AttemptResult.REJECTED))
+                self.schedule(self.now + LATENCY_NS, lambda: finish_attempt(AttemptResult.REJECTED))
 
         def work() -> None:
             server.busy_core_count += 1
-            requests_per_ns = self.capacity(server.entry, self.now) / self.plan.cores / SECOND
+            requests_per_ns = self.capacity(server.entry, self.now) / self.plan.cores / SECOND_NS
             span = int(self.random.gammavariate(4.0, 0.25) / requests_per_ns)
             self.schedule(self.now + span, done)
 
         def done() -> None:
             server.busy_core_count -= 1
-            end(AttemptResult.OK)
+            finish_attempt(AttemptResult.OK)
             if server.queue:
                 server.queue.popleft()()
 
         self.schedule(sent_at + LATENCY_NS, arrive)
-        self.schedule(sent_at + forward.timeout_ns, lambda: end(AttemptResult.TIMEOUT))
+        self.schedule(sent_at + forward.timeout_ns, lambda: finish_attempt(AttemptResult.TIMEOUT))
 
     def remove_servers(self, numbers: Sequence[int]) -> None:
         """Let servers fail now, and publish their removal from the list."""
@@ -259,7 +263,7 @@
 
     # Measurements.
 
-    def excess(self, server: Server) -> float:
+    def overload_ratio(self, server: Server) -> float:
         """Return the highest ratio of requests in a window to the allowed requests; above 1 is overload."""
         max_excess, first, times = 0.0, 0, server.arrivals
         for last, at_ns in enumerate(times):
@@ -267,16 +271,16 @@
                 break
             while times[first] <= at_ns - self.plan.overload_window_ns:
                 first += 1
-            span = self.plan.overload_window_ns / SECOND
+            span = self.plan.overload_window_ns / SECOND_NS
             allowed = self.plan.overload_multiple * self.capacity(server.entry, at_ns) * span
             max_excess = max(max_excess, (last + 1 - first) / (allowed + 2.0 * sqrt(allowed) + 2.0))
         return max_excess
 
-    def used(self, server: Server, until: int) -> float:
+    def utilization_ratio(self, server: Server, until: int) -> float:
         """Return the ratio of the requests that a server got to its capacity, from its start to `until`."""
-        started_at, step = server.entry.started_at_ns, 100 * MS
+        started_at, step = server.entry.started_at_ns, 100 * MS_NS
         possible_requests = sum(
-            self.capacity(server.entry, at_ns) * step / SECOND for at_ns in range(started_at, until, step)
+            self.capacity(server.entry, at_ns) * step / SECOND_NS for at_ns in range(started_at, until, step)
         )
         return sum(at_ns <= until for at_ns in server.arrivals) / possible_requests
 
@@ -285,35 +289,39 @@
 class Report:
     """The results of a run."""
 
-    excess: float  # highest `Fleet.excess` of a server that was in slow start
+    overload_ratio: float  # highest `Fleet.overload_ratio` of a server that was in slow start
     overloaded: int  # servers whose excess is above 1
-    cold: int  # servers that were in slow start
-    used: float  # mean `Fleet.used` of these servers
-    served: float  # successful fraction of the requests since the servers were first added again
+    slow_start_count: int  # servers that were in slow start
+    utilization_ratio: float  # mean `Fleet.utilization_ratio` of these servers
+    success_ratio: float  # successful fraction of the requests since the servers were first added again
 
 
 def play(plan: Plan) -> Report:
     """Simulate a plan and return its results."""
     fleet = Fleet(plan)
-    lost = range(round(plan.lost * plan.servers))
+    lost_ratio = range(round(plan.lost_ratio * plan.servers))
     fleet.run(plan.warm_up)
-    fleet.remove_servers(lost)
+    fleet.remove_servers(lost_ratio)
     fleet.run(plan.outage_ns)
-    fleet.restart_nodes(plan.restarted)
+    fleet.restart_nodes(plan.restarted_node_ratio)
     success_count, request_count = fleet.success_count, fleet.request_count
     for step in range(plan.steps):
-        fleet.add_servers(lost[step :: plan.steps])
-        fleet.run(plan.step_time if step + 1 < plan.steps else plan.watched // 2)
-    fleet.remove_servers(range(len(lost), len(lost) + round(plan.lost_later * plan.servers)))
-    fleet.run(plan.watched - plan.watched // 2)
-    until = min(fleet.now, fleet.now - plan.watched + plan.slow_start_duration_ns)
-    cold = [server for server in fleet.servers.values() if server.entry.started_at_ns]
-    excesses = [fleet.excess(server) for server in cold]
-    used = sum(fleet.used(server, until) for server in cold) / len(cold)
+        fleet.add_servers(lost_ratio[step :: plan.steps])
+        fleet.run(plan.step_time if step + 1 < plan.steps else plan.measured_ns // 2)
+    fleet.remove_servers(
+        range(len(lost_ratio), len(lost_ratio) + round(plan.second_loss_ratio * plan.servers))
+    )
+    fleet.run(plan.measured_ns - plan.measured_ns // 2)
+    until = min(fleet.now, fleet.now - plan.measured_ns + plan.slow_start_duration_ns)
+    slow_start_count = [server for server in fleet.servers.values() if server.entry.started_at_ns]
+    excesses = [fleet.overload_ratio(server) for server in slow_start_count]
+    utilization_ratio = sum(fleet.utilization_ratio(server, until) for server in slow_start_count) / len(
+        slow_start_count
+    )
     return Report(
         max(excesses),
-        sum(excess > 1.0 for excess in excesses),
-        len(cold),
-        used,
+        sum(overload_ratio > 1.0 for overload_ratio in excesses),
+        len(slow_start_count),
+        utilization_ratio,
         (fleet.success_count - success_count) / (fleet.request_count - request_count),
     )
--- a/tests/node/test_answer_faults.py
+++ b/tests/node/test_answer_faults.py
@@ -6,7 +6,18 @@
 from contextlib import AsyncExitStack
 
 import pytest
-from rig import PATIENCE, Rig, Server, answer, configuration, request, run, says, serves, status
+from rig import (
+    TEST_TIMEOUT_SECONDS,
+    Rig,
+    Server,
+    answer,
+    configuration,
+    request,
+    respond_ok,
+    respond_with,
+    run,
+    status,
+)
 
 from moleport.node.client_connection import ClientConnection
 from moleport.policy.interface import AttemptResult
@@ -28,14 +39,14 @@
             for _ in range(3):
                 client = await rig.client()
                 client.writer.write(request("order"))
-                assert await client.ended() == b""
+                assert await client.read_to_end() == b""
             monkeypatch.setattr(ClientConnection, "send_response", send_response)
             results = [(outcome.result, outcome.is_answered) for outcome in rig.spy.outcomes()]
             assert results == [(AttemptResult.OK, True)] * 3
             assert not rig.node.requests.active
             assert rig.node.attempts_in_flight_by_policy() == 0
             assert rig.node.telemetry.counters[Event.RESPONSE_FAILED] == 3
-            assert status(await (await rig.client()).ask(request("order"))) == 200
+            assert status(await (await rig.client()).exchange(request("order"))) == 200
 
     run(test())
 
@@ -44,14 +55,14 @@
     """The 60 responses exceed the cap on attempts in flight; the servers then recover."""
 
     async def test() -> None:
-        async with Server("s-1", says(answer(499))) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", respond_with(answer(499))) as server, Rig(configuration(server)) as rig:
             for _ in range(60):
                 client = await rig.client()
-                assert status(await client.ask(request())) == 499
-            server.script = serves
+                assert status(await client.exchange(request())) == 499
+            server.script = respond_ok
             client = await rig.client()
             for _ in range(20):
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
 
     run(test())
 
@@ -65,16 +76,16 @@
     async def test() -> None:
         async with AsyncExitStack() as stack:
             servers = [await stack.enter_async_context(Server(f"s-{number}")) for number in range(5)]
-            servers[0].script = says(answer(500))
+            servers[0].script = respond_with(answer(500))
             rig = await stack.enter_async_context(Rig(configuration(*servers)))
             client = await rig.client()
             counters = rig.node.telemetry.counters
             while not counters[Event.ENDPOINT_EJECTED]:
-                assert status(await client.ask(request())) == 200
-            servers[0].script = serves
-            async with asyncio.timeout(PATIENCE):
+                assert status(await client.exchange(request())) == 200
+            servers[0].script = respond_ok
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 while not counters[Event.ENDPOINT_REINSTATED]:
-                    assert status(await client.ask(request())) == 200
+                    assert status(await client.exchange(request())) == 200
                     await asyncio.sleep(0.01)
             lines = [record.getMessage() for record in caplog.records if "is ejected" in record.getMessage()]
             assert lines and all(servers[0].address in line and "error" in line for line in lines)
--- a/tests/node/test_attempt_states.py
+++ b/tests/node/test_attempt_states.py
@@ -10,7 +10,7 @@
 import pytest
 import uvloop
 from rig import (
-    PATIENCE,
+    TEST_TIMEOUT_SECONDS,
     Client,
     Message,
     Rig,
@@ -18,8 +18,8 @@
     answer,
     configuration,
     request,
+    respond_with,
     run,
-    says,
     status,
     until,
 )
@@ -89,7 +89,7 @@
             assert not rig.node.telemetry.violations
 
     with asyncio.Runner(loop_factory=FailingLoop) as runner:
-        runner.run(asyncio.wait_for(test(), PATIENCE))
+        runner.run(asyncio.wait_for(test(), TEST_TIMEOUT_SECONDS))
 
 
 @pytest.mark.parametrize("result", [AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED])
@@ -97,7 +97,7 @@
     result: AttemptResult,
 ) -> None:
     async def never_respond(_: Message, __: asyncio.StreamWriter) -> None:
-        await asyncio.sleep(PATIENCE)
+        await asyncio.sleep(TEST_TIMEOUT_SECONDS)
 
     async def test() -> None:
         first, second = Server("s-1", never_respond), Server("s-2", never_respond)
@@ -130,7 +130,7 @@
             monkeypatch.setattr(Attempt, "_write_request", record_write)
             client = await rig.client()
             for _ in range(2):  # on a new and on an idle connection
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
                 await asyncio.sleep(0.02)
             assert unsent_at_write == [False, False]
             assert not any(pool.unsent for pool in pools)
@@ -156,12 +156,12 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             if connection == "idle":
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
             earlier_count = len(rig.spy.outcomes())
             monkeypatch.setattr(AttemptSupervisor, "authorize_write", wait_until_permitted)
             if limit == "attempt":
                 actions = [api.Forward(earlier_count + 1, hash_name("s-1"), 50 * NS_PER_MS)]
-                rig.spy.instead = lambda event: actions if isinstance(event, api.Request) else None
+                rig.spy.replace_actions = lambda event: actions if isinstance(event, api.Request) else None
             client.writer.write(request("order", X_Deadline="60m" if limit == "deadline" else "5000m"))
             await asyncio.sleep(0.07)
             permitted.append(True)
@@ -180,14 +180,14 @@
     """
 
     async def test() -> None:
-        first, second = Server("s-1", says(answer(500))), Server("s-2", says(answer(500)))
+        first, second = Server("s-1", respond_with(answer(500))), Server("s-2", respond_with(answer(500)))
         async with first, second, Rig(configuration(first, second)) as rig:
 
             def end_request(event: api.Event) -> None:
                 if isinstance(event, api.AttemptOutcome) and event.attempt_index == 0:
                     rig.node.requests.active.pop(event.request_id, None)
 
-            rig.spy.instead = end_request
+            rig.spy.replace_actions = end_request
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: len(rig.spy.outcomes()) > 1)
--- a/tests/node/test_clients.py
+++ b/tests/node/test_clients.py
@@ -8,17 +8,17 @@
 
 import pytest
 from rig import (
-    LEAVE,
+    DISCONNECT_MODES,
     Message,
     Rig,
     Server,
     answer,
     configuration,
-    grade,
+    never_respond,
     request,
+    request_class,
+    respond_with,
     run,
-    says,
-    silent,
     status,
     until,
 )
@@ -32,7 +32,9 @@
 
     async def test() -> None:
         async with (
-            Server("s-1", says(answer(X_Load="depth=2,load_share=0.61", Content_Type="image/png"))) as server,
+            Server(
+                "s-1", respond_with(answer(X_Load="depth=2,load_share=0.61", Content_Type="image/png"))
+            ) as server,
             Rig(configuration(server)) as rig,
         ):
             client = await rig.client()
@@ -47,7 +49,7 @@
                 Accept="image/png",
                 X_Request_Id="9b1f03aa5c7e2d41",
             )
-            response = await client.ask(sent)
+            response = await client.exchange(sent)
             assert (response.body, response.headers["content-type"]) == (b"frame", "image/png")
             (forwarded,) = server.seen
             assert forwarded.first == "POST /api?a=b&c=%20d HTTP/1.1"
@@ -73,7 +75,7 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             head = "GET /api HTTP/1.1\r\nX-Request-Id: 1\r\nX-Class: page\r\n\r\n"
-            assert (await client.ask(head.encode())).body == b"frame"
+            assert (await client.exchange(head.encode())).body == b"frame"
             assert "content-length" not in server.seen[0].headers
             (event,) = [event for event in rig.spy.events if isinstance(event, api.Request)]
             assert 9_000_000_000 < event.remaining_ns <= 10_000_000_000
@@ -138,14 +140,14 @@
     async def test() -> None:
         data, expected_status = INVALID_REQUESTS[name]
         document = configuration()
-        document["settings"]["Grades"].append(grade("pay", "by_key"))
+        document["settings"]["Grades"].append(request_class("pay", "by_key"))
         async with Server("s-1") as server:
             document["known"]["servers"] = [server.entry()]
             async with Rig(document) as rig:
                 client = await rig.client()
-                response = await client.ask(data + request("order"))
+                response = await client.exchange(data + request("order"))
                 assert (status(response), response.headers["connection"]) == (expected_status, "close")
-                assert await client.ended() == b""
+                assert await client.read_to_end() == b""
                 assert not server.seen
                 assert not [event for event in rig.spy.events if isinstance(event, api.Request)]
 
@@ -158,8 +160,8 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            assert status(await client.ask(request(X_Deadline="0m"))) == 504
-            assert status(await client.ask(request(X_Deadline="999999999999m"))) == 200
+            assert status(await client.exchange(request(X_Deadline="0m"))) == 504
+            assert status(await client.exchange(request(X_Deadline="999999999999m"))) == 200
             (event,) = [event for event in rig.spy.events if isinstance(event, api.Request)]
             assert event.remaining_ns <= 10_000_000_000
 
@@ -179,11 +181,11 @@
             first, second = await rig.client(), await rig.client()
             first.writer.write(request("order", X_Request_Id="mine"))
             await until(lambda: server.seen)
-            assert status(await second.ask(request("order", X_Request_Id="mine"))) == 409
-            assert await second.ended() == b""
+            assert status(await second.exchange(request("order", X_Request_Id="mine"))) == 409
+            assert await second.read_to_end() == b""
             release.set()
             assert status(await first.read()) == 200
-            assert status(await first.ask(request("order", X_Request_Id="mine"))) == 200
+            assert status(await first.exchange(request("order", X_Request_Id="mine"))) == 200
             assert len(server.seen) == 2 and not rig.node.requests._request_ids
 
     run(test())
@@ -207,18 +209,18 @@
             await until(lambda: connection._is_half_closed)
             release.set()
             assert status(await client.read()) == 200
-            assert await client.ended() == b""
+            assert await client.read_to_end() == b""
             partial_client = await rig.client()
             partial_client.writer.write(request("order")[:-9])
             partial_client.writer.write_eof()
-            assert await partial_client.ended() == b""
+            assert await partial_client.read_to_end() == b""
             await until(lambda: not rig.listener.table.connections)
             assert len(server.seen) == 1
 
     run(test())
 
 
-@pytest.mark.parametrize("how", LEAVE)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 # 300 requests are more than the node reads at once, and less than the kernel buffers.
 @pytest.mark.parametrize("pipelined_count", [1, 300])
 def test_no_pipelined_request_of_a_disconnected_client_is_forwarded(how: str, pipelined_count: int) -> None:
@@ -236,7 +238,7 @@
             await until(lambda: server.seen)
             (connection,) = rig.listener.table.connections
             await until(lambda: connection._is_paused)
-            client.leave(how)
+            client.disconnect(how)
             await until(lambda: connection._is_half_closed or not rig.listener.table.connections)
             release.set()
             if how == "sending":
@@ -250,7 +252,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", LEAVE)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 @pytest.mark.parametrize("class_name", ["page", "order"])
 def test_no_retry_is_made_for_a_disconnected_client(class_name: str, how: str) -> None:
     """The node cannot tell a close from a half-close, and retries after neither."""
@@ -270,7 +272,7 @@
             client = await rig.client()
             client.writer.write(request(class_name))
             await until(lambda: one.seen or two.seen)
-            client.leave(how)
+            client.disconnect(how)
             await until(
                 lambda: [event for event in rig.spy.events if isinstance(event, api.ClientDisconnected)]
             )
@@ -288,7 +290,7 @@
     """A client that pipelines thousands of requests fills its socket buffers, not the memory of the node."""
 
     async def test() -> None:
-        async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", never_respond) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(b"".join(request("order") for _ in range(3000)))
             await until(lambda: server.seen)
@@ -315,7 +317,7 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             used, idle = await rig.client(), await rig.client()
             for client in (used, idle):
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
             used.writer.write(sent or b"GET")
             client = await rig.client()
             client.writer.write(sent[:1])
@@ -323,9 +325,9 @@
             client.writer.write(sent[1:])  # slow data extends no limit
             if sent:
                 assert status(await client.read()) == 408
-            assert await client.ended() == b""
+            assert await client.read_to_end() == b""
             assert status(await used.read()) == 408
-            assert status(await idle.ask(request())) == 200
+            assert status(await idle.exchange(request())) == 200
             assert len(server.seen) == 3
 
     run(test())
@@ -339,8 +341,8 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            assert status(await client.ask(request())) == 200
-            assert await client.ended() == b""
+            assert status(await client.exchange(request())) == 200
+            assert await client.read_to_end() == b""
 
     run(test())
 
@@ -352,16 +354,16 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             rig.listener.table.max_connections = 3
             used = await rig.client()
-            assert status(await used.ask(request())) == 200
+            assert status(await used.exchange(request())) == 200
             rejected = await rig.client()
-            assert status(await rejected.ask(b"rubbish\r\n\r\n")) == 400
+            assert status(await rejected.exchange(b"rubbish\r\n\r\n")) == 400
             assert await rejected.reader.read() == b""  # lingering close: the client has not closed its side
             silent_clients = [await rig.client() for _ in range(6)]
             silent_clients[0].writer.write(b"GET /api HT")
-            await asyncio.gather(*(one.ended() for one in silent_clients[:4]))
+            await asyncio.gather(*(one.read_to_end() for one in silent_clients[:4]))
             new = await rig.client()
-            assert status(await new.ask(request())) == 200
-            assert status(await used.ask(request())) == 200
+            assert status(await new.exchange(request())) == 200
+            assert status(await used.exchange(request())) == 200
             assert len(server.seen) == 3 and rig.listener.table.open_count <= 3
 
     run(test())
@@ -378,10 +380,10 @@
             rig.listener.table.max_connections = 40
             clients = [await rig.client() for _ in range(20)]
             for client in clients:
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
             assert len(rig.listener.table._idle) <= connection_table.MAX_IDLE_RATIO * 40 + 1
-            assert await clients[0].ended() == b""
-            assert status(await clients[-1].ask(request())) == 200
+            assert await clients[0].read_to_end() == b""
+            assert status(await clients[-1].exchange(request())) == 200
 
     run(test())
 
@@ -394,11 +396,11 @@
             rig.listener.table.max_connections = 20
             used = [await rig.client() for _ in range(10)]
             for client in used:
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
             silent_clients = [await rig.client() for _ in range(300)]
             start_time = asyncio.get_running_loop().time()
             last_client = await rig.client()
-            assert status(await last_client.ask(request())) == 200
+            assert status(await last_client.exchange(request())) == 200
             # Silent clients have at least half of the table, and 0.1 s each to send data.
             # With a tenth of the table for them this took 30 s.
             assert asyncio.get_running_loop().time() - start_time < 12
@@ -440,7 +442,7 @@
             client.writer.write(request(target="/nowhere") + request())
             assert [(await client.read()).body for _ in range(count)] == [b"%d" % n for n in range(count)]
             assert status(await client.read()) == 404  # an error ends the connection
-            assert await client.ended() == b""
+            assert await client.read_to_end() == b""
 
     run(test())
 
@@ -493,7 +495,7 @@
         async with Server("s-1", echo) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             body = bytes(range(256)) * 256
-            assert (await client.ask(request(body=body))).body == body[::-1]
+            assert (await client.exchange(request(body=body))).body == body[::-1]
 
     run(test())
 
@@ -502,7 +504,7 @@
     """A connection is aborted if its client has not read the response by the deadline."""
 
     async def test() -> None:
-        large = says(answer(body=b"x" * 65536))
+        large = respond_with(answer(body=b"x" * 65536))
         async with Server("s-1", large) as server, Rig(configuration(server)) as rig:
             loop = asyncio.get_running_loop()
             with socket.socket() as client:
@@ -527,10 +529,10 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration()) as empty, Rig(configuration(server)) as rig:
             up = request(target="/up", method="GET")
-            assert status(await (await empty.client()).ask(up)) == 503
-            assert status(await (await rig.client()).ask(up)) == 200
+            assert status(await (await empty.client()).exchange(up)) == 503
+            assert status(await (await rig.client()).exchange(up)) == 200
             rig.listener.context.is_stopping = True
-            assert status(await (await rig.client()).ask(up)) == 503
+            assert status(await (await rig.client()).exchange(up)) == 503
 
     run(test())
 
@@ -542,8 +544,8 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             head, _, body = request(body=b"text", Expect="100-continue").partition(b"\r\n\r\n")
-            assert status(await client.ask(head + b"\r\n\r\n")) == 100
-            assert status(await client.ask(body)) == 200
+            assert status(await client.exchange(head + b"\r\n\r\n")) == 100
+            assert status(await client.exchange(body)) == 200
             assert "expect" not in server.seen[0].headers
 
     run(test())
@@ -558,15 +560,15 @@
         return None
 
     async def test() -> None:
-        async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = fail_on_order
+        async with Server("s-1", never_respond) as server, Rig(configuration(server)) as rig:
+            rig.spy.replace_actions = fail_on_order
             other, client = await rig.client(), await rig.client()
             other.writer.write(request())
             await until(lambda: server.seen)
-            server.script = says(answer())
-            assert status(await client.ask(request("order"))) == 502
+            server.script = respond_with(answer())
+            assert status(await client.exchange(request("order"))) == 502
             assert "in the module" in caplog.text and "Traceback" in caplog.text
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             assert len(rig.node.requests.active) == 1  # the other request is still in flight
 
     run(test())
@@ -587,7 +589,7 @@
 
     async def test() -> None:
         async with Rig(configuration()) as rig:
-            rig.spy.instead = fail_once
+            rig.spy.replace_actions = fail_once
             await until(lambda: failed_timer_ids)
             await until(lambda: rig.spy.events.count(api.TimerFired(failed_timer_ids[0])) > 1)
 
@@ -599,14 +601,14 @@
     """The node reads the reset and the new request in one loop iteration, with the attempt in flight."""
 
     async def test() -> None:
-        async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", never_respond) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(request(class_name, X_Request_Id="mine"))
             await until(lambda: server.seen)
-            server.script = says(answer())
+            server.script = respond_with(answer())
             # The event loop does not run until sock_recv below.
             with socket.create_connection(rig.address) as new_socket:
-                client.leave("reset")
+                client.disconnect("reset")
                 new_socket.sendall(request(class_name, X_Request_Id="mine"))
                 new_socket.setblocking(False)
                 loop = asyncio.get_running_loop()
@@ -626,7 +628,7 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             if is_used:
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
             await until(lambda: rig.listener.table.connections)
             for name in (
                 "MIN_RECLAIM_AGE_SECONDS",
@@ -684,7 +686,7 @@
     """A request that is forwarded at the end of a shutdown would be lost when the process exits."""
 
     async def test() -> None:
-        async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", never_respond) as server, Rig(configuration(server)) as rig:
             waiting, slow = await rig.client(), await rig.client()
             waiting.writer.write(request("order"))
             data = request(body=b"text")
@@ -692,7 +694,7 @@
             await until(lambda: server.seen and rig.listener.table._new)
             rig.node.fail_all_requests()
             assert status(await waiting.read()) == 504
-            response = await slow.ask(data[-1:])
+            response = await slow.exchange(data[-1:])
             assert (status(response), response.headers["retry-after"]) == (503, "1.500")
             assert len(server.seen) == 1
 
@@ -703,7 +705,7 @@
     """A response that a client reads slowly would otherwise be cut off by the shutdown."""
 
     async def test() -> None:
-        large = says(answer(body=b"x" * 65536))
+        large = respond_with(answer(body=b"x" * 65536))
         async with Server("s-1", large) as server, Rig(configuration(server)) as rig:
             loop = asyncio.get_running_loop()
             with socket.socket() as client:
--- a/tests/node/test_clocks.py
+++ b/tests/node/test_clocks.py
@@ -78,7 +78,7 @@
             await asyncio.sleep(number * REQUEST_INTERVAL_SECONDS)
             end = time.monotonic() + span_s
             while time.monotonic() < end:
-                counts[status(await clients[number].ask(request()))] += 1
+                counts[status(await clients[number].exchange(request()))] += 1
                 await asyncio.sleep(4 * REQUEST_INTERVAL_SECONDS)
 
         await asyncio.gather(*(send_requests(number) for number in range(4)))
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -13,11 +13,11 @@
     Server,
     answer,
     configuration,
+    never_respond,
     request,
+    respond_ok,
+    respond_with,
     run,
-    says,
-    serves,
-    silent,
     status,
     until,
 )
@@ -37,7 +37,8 @@
 async def send_at_once(rig: Rig, count: int) -> list[int]:
     clients = [await rig.client() for _ in range(count)]
     return [
-        status(response) for response in await asyncio.gather(*(client.ask(request()) for client in clients))
+        status(response)
+        for response in await asyncio.gather(*(client.exchange(request()) for client in clients))
     ]
 
 
@@ -52,7 +53,7 @@
             latest = pool.idle[-1]
             client = await rig.client()
             for _ in range(5):
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
             assert server.connections == 2
             assert pool.idle[-1] is latest
 
@@ -77,8 +78,8 @@
 
         async with Server("s-1", echo) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            assert (await client.ask(request(body=b"one"))).body == b"one"
-            assert (await client.ask(request(body=b"two"))).body == b"two"
+            assert (await client.exchange(request(body=b"one"))).body == b"one"
+            assert (await client.exchange(request(body=b"two"))).body == b"two"
             assert server.connections == 2  # the first connection is still within COOL_DOWN_NS
             monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
             (pool,) = rig.node._pools._pools.values()
@@ -90,7 +91,7 @@
                 os.write(server_socket.fileno(), answer(body=b"copy"))
             assert [connection.has_no_unread_data() for connection in pool.idle] == [False, False]
             assert pool.acquire() is None and not pool.idle
-            assert (await client.ask(request(body=b"three"))).body == b"three"
+            assert (await client.exchange(request(body=b"three"))).body == b"three"
             assert server.connections == 3
 
     run(test())
@@ -99,10 +100,10 @@
 @pytest.mark.parametrize("reply", [answer(Connection="close"), answer().replace(b"HTTP/1.1", b"HTTP/1.0")])
 def test_a_connection_that_the_server_ends_is_not_reused(reply: bytes) -> None:
     async def test() -> None:
-        async with Server("s-1", says(reply)) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", respond_with(reply)) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             for count in (1, 2):
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
                 assert server.connections == count
             await until(lambda: rig.node._pools.sockets == 0)
 
@@ -113,7 +114,7 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server, IdleClose=200_000_000)) as rig:
             client = await rig.client()
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             await until(lambda: server.open == 0)
             assert rig.node._pools.sockets == 0
 
@@ -126,14 +127,14 @@
 
         async def respond(message: Message, writer: asyncio.StreamWriter) -> None:
             writers.append(writer)
-            await serves(message, writer)
+            await respond_ok(message, writer)
 
         async with Server("s-1", respond) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             writers[0].close()
             await until(lambda: rig.node._pools.sockets == 0)
-            assert status(await client.ask(request("order"))) == 200
+            assert status(await client.exchange(request("order"))) == 200
 
     run(test())
 
@@ -142,7 +143,7 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             assert await send_at_once(rig, 2) == [200, 200]
-            server.script = silent
+            server.script = never_respond
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: len(server.seen) == 3)
@@ -187,14 +188,14 @@
     async def test() -> None:
         async with Server("s-1") as server, Server("s-1") as later, Rig(configuration(server)) as rig:
             client = await rig.client()
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             if moved:
                 server.address = later.address
             else:
                 server.started_ms = 1_700_000_000_000
             rig.node.endpoint_list.on_update(endpoint_update(server))
             await until(lambda: server.open == 0)
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             assert (server.connections, later.connections) == ((1, 1) if moved else (2, 0))
 
     run(test())
@@ -207,7 +208,7 @@
             assert await send_at_once(rig, 2) == [200, 200]
             rig.node.endpoint_list.on_update(endpoint_update(server, other))
             rig.node._pools._max_sockets = 1
-            server.script = other.script = silent
+            server.script = other.script = never_respond
             clients = [await rig.client() for _ in range(3)]
             for client in clients:
                 client.writer.write(request("order"))
@@ -229,14 +230,14 @@
     """A connection and its parser refer to each other, so this reference cycle must be broken explicitly."""
 
     async def test() -> None:
-        respond_and_close = says(answer(Connection="close"))
+        respond_and_close = respond_with(answer(Connection="close"))
         async with Server("s-1", respond_and_close) as server, Rig(configuration(server)) as rig:
             gc.collect()
             gc.disable()
             try:
                 for _ in range(20):
                     client = await rig.client()
-                    assert status(await client.ask(request())) == 200
+                    assert status(await client.exchange(request())) == 200
                     client.writer.close()
                 await until(lambda: not rig.listener.table.connections and not rig.node._pools.sockets)
                 await asyncio.sleep(0)
@@ -271,9 +272,9 @@
             gc.disable()
             try:
                 client = await rig.client()
-                assert status(await client.ask(request())) == 503
+                assert status(await client.exchange(request())) == 503
                 rig.watch()
-                await until(lambda: len(rig.spy.lists(api.EndpointUpdateKind.FAILED)) >= 2)
+                await until(lambda: len(rig.spy.endpoint_updates(api.EndpointUpdateKind.FAILED)) >= 2)
                 await asyncio.sleep(0.02)
                 remaining_types = [type(item).__name__ for item in gc.get_objects()]
                 assert remaining_types.count("HttpResponseParser") == 0
@@ -326,7 +327,7 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            assert status(await client.ask(request())) == 200  # opens a connection, idle from now on
+            assert status(await client.exchange(request())) == 200  # opens a connection, idle from now on
             assert os.write(client.writer.get_extra_info("socket").fileno(), request())
             start_draining(rig, server)  # in the same iteration of the event loop
             assert status(await client.read()) == 503
@@ -389,12 +390,12 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             server.state = "Gone"
             rig.node.endpoint_list.on_update(endpoint_update(server))
             server.state = "Ready"
             rig.node.endpoint_list.on_update(endpoint_update(server))
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             assert server.connections == 2
             await until(lambda: server.open == 1)
 
--- a/tests/node/test_consistency_check.py
+++ b/tests/node/test_consistency_check.py
@@ -5,7 +5,7 @@
 import asyncio
 from time import monotonic_ns
 
-from rig import Rig, Server, configuration, request, run, silent, until
+from rig import Rig, Server, configuration, never_respond, request, run, until
 
 from moleport.node.invariants import Invariant
 from moleport.units import NS_PER_SECOND
@@ -13,7 +13,7 @@
 
 def test_an_overdue_request_and_its_attempt_are_reported_once() -> None:
     async def test() -> None:
-        async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", never_respond) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: server.seen)
@@ -35,7 +35,7 @@
 
 def test_attempts_that_only_the_policy_counts_are_reported_within_a_second() -> None:
     async def test() -> None:
-        async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", never_respond) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: server.seen)
--- a/tests/node/test_departures.py
+++ b/tests/node/test_departures.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from rig import Message, Rig, Server, configuration, grade, request, reset, run, until
+from rig import Message, Rig, Server, configuration, request, request_class, reset, run, until
 
 from moleport.node import connection_pool
 from moleport.policy import interface as api
@@ -53,7 +53,7 @@
                 if isinstance(event, api.AttemptOutcome):
                     client.close()
 
-            rig.spy.instead = disconnect_client
+            rig.spy.replace_actions = disconnect_client
             client.sendall(request())
             await wait_until_settled(rig)
             assert len(one.seen) + len(two.seen) == request_count + 1
@@ -64,7 +64,7 @@
 def one_at_a_time_configuration(*servers: Server) -> dict[str, Any]:
     """Return a configuration with a class of which requests with the same key are forwarded one at a time."""
     document = configuration(*servers)
-    class_entry = grade("serial", "once", aim_ms=500) | {"OneAtATime": True, "LateShare": 0.5}
+    class_entry = request_class("serial", "once", aim_ms=500) | {"OneAtATime": True, "LateShare": 0.5}
     document["settings"]["Grades"].append(class_entry)
     return document
 
@@ -90,7 +90,7 @@
                 if isinstance(event, api.AttemptOutcome):
                     second_client.close()
 
-            rig.spy.instead = disconnect_client
+            rig.spy.replace_actions = disconnect_client
             for client in (first_client, second_client):
                 client.sendall(request("serial", "POST", X_Key="7f3a"))
                 count = len(rig.spy.events)
@@ -174,7 +174,7 @@
             Server("s-2", reset_when_released) as two,
             Rig(configuration(one, two)) as rig,
         ):
-            (endpoint_list,) = rig.spy.lists(api.EndpointUpdateKind.CACHED)
+            (endpoint_list,) = rig.spy.endpoint_updates(api.EndpointUpdateKind.CACHED)
 
             def forward_and_always_retry(event: api.Event) -> list[api.Action] | None:
                 if isinstance(event, api.Request):
@@ -189,7 +189,7 @@
                     ]
                 return None
 
-            rig.spy.instead = forward_and_always_retry
+            rig.spy.replace_actions = forward_and_always_retry
             clients = [connect(rig) for _ in range(CLIENT_COUNT)]
             for client in clients:
                 client.sendall(request() + request())
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -24,7 +24,9 @@
             Server("s-3") as older,
             Rig(configuration(first, discovery=source.address)) as rig,
         ):
-            assert [len(update.endpoints) for update in rig.spy.lists(EndpointUpdateKind.CACHED)] == [1]
+            assert [
+                len(update.endpoints) for update in rig.spy.endpoint_updates(EndpointUpdateKind.CACHED)
+            ] == [1]
             rig.watch()
             await until(lambda: source.targets)
             assert source.targets == ["GET /discovery/hosts?watch=1&from=7 HTTP/1.1"]
@@ -32,18 +34,18 @@
             source.push_bytes(b"\n")
             older.started_ms = second.started_ms - 5000
             source.push(9, second, older)
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.DELTA))
-            server, earlier_started = rig.spy.lists(EndpointUpdateKind.DELTA)[0].endpoints
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.DELTA))
+            server, earlier_started = rig.spy.endpoint_updates(EndpointUpdateKind.DELTA)[0].endpoints
             assert (server.id, server.state) == (hash_name("s-2"), EndpointState.READY)
             age = asyncio.get_running_loop().time() * 1e9 - server.started_at_ns
             assert 0 <= age < 1e9  # the newest start of the initial list is now, regardless of wall clocks
             assert server.started_at_ns - earlier_started.started_at_ns == 5 * 10**9
             assert rig.node._ready_endpoint_ids == {hash_name("s-1"), hash_name("s-2"), hash_name("s-3")}
             source.push(12, second, full=True)
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT))
             assert rig.node._ready_endpoint_ids == {hash_name("s-2")}
             source.drop()
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.FAILED))
             rig.watch()
             await until(lambda: len(source.targets) == 2)
             assert "from=12 " in source.targets[1]
@@ -61,7 +63,7 @@
             for piece in (b'{"version":8,', b'"full":true,"servers":[]}', b"\n"):
                 source.push_bytes(piece)
                 await asyncio.sleep(0.01)
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT))
 
     run(test())
 
@@ -92,11 +94,11 @@
             )
             for begin in range(0, len(data), piece_bytes):
                 source.push_bytes(data[begin : begin + piece_bytes])
-            await until(lambda: len(rig.spy.lists(EndpointUpdateKind.SNAPSHOT)) == 3)
-            snapshots = rig.spy.lists(EndpointUpdateKind.SNAPSHOT)
+            await until(lambda: len(rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT)) == 3)
+            snapshots = rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT)
             assert [len(update.endpoints) for update in snapshots] == [1, 1, 2]
             assert rig.node._ready_endpoint_ids == {hash_name('s-"{'), hash_name("s-\\")}
-            assert not rig.spy.lists(EndpointUpdateKind.FAILED) and len(source.targets) == 1
+            assert not rig.spy.endpoint_updates(EndpointUpdateKind.FAILED) and len(source.targets) == 1
 
     run(test())
 
@@ -147,7 +149,7 @@
             for _ in range(80):
                 source.push_bytes(b"\n")
                 await asyncio.sleep(0.03)
-            assert not rig.spy.lists(EndpointUpdateKind.FAILED) and len(source.targets) == 1
+            assert not rig.spy.endpoint_updates(EndpointUpdateKind.FAILED) and len(source.targets) == 1
 
     run(test())
 
@@ -182,10 +184,10 @@
             rig.watch()
             await until(lambda: source.targets)
             source.push_bytes(text + text)
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.FAILED))
             source.drop()
             await asyncio.sleep(0.02)
-            assert len(rig.spy.lists(EndpointUpdateKind.FAILED)) == 1
+            assert len(rig.spy.endpoint_updates(EndpointUpdateKind.FAILED)) == 1
             assert rig.node._ready_endpoint_ids == {hash_name("s-1")}
 
     run(test())
@@ -208,7 +210,7 @@
             await until(lambda: source.targets)
             source.push(9, first, full=True)
             source.push(8, first, second, full=True)
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.FAILED))
             assert rig.node._ready_endpoint_ids == {hash_name("s-1")}
             rig.watch()
             await until(lambda: len(source.targets) == 2)
@@ -234,14 +236,16 @@
             await until(lambda: source.targets)
             line = json.dumps({"version": 9, "full": True, "servers": [first.entry(), second.entry()]})
             source.push_bytes(line.replace('"weight": 1.0', f'"weight": {weight}', 1).encode() + b"\n")
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
-            assert [server.weight for server in rig.spy.lists(EndpointUpdateKind.SNAPSHOT)[0].endpoints] == [
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT))
+            assert [
+                server.weight for server in rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT)[0].endpoints
+            ] == [
                 1.0,
                 1.0,
             ]
             client = await rig.client()
             while not (first.seen and second.seen):
-                await client.ask(request())
+                await client.exchange(request())
 
     run(test())
 
@@ -264,11 +268,11 @@
                 configuration(discovery="127.0.0.1:1" if cause == "refused" else source.address)
             ) as rig:
                 rig.watch()
-                await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
+                await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.FAILED))
                 source.drop()
                 await asyncio.sleep(0.02)
-                assert len(rig.spy.lists(EndpointUpdateKind.FAILED)) == 1
+                assert len(rig.spy.endpoint_updates(EndpointUpdateKind.FAILED)) == 1
                 rig.watch()  # as the policy would do; this watch is reported separately
-                await until(lambda: len(rig.spy.lists(EndpointUpdateKind.FAILED)) == 2)
+                await until(lambda: len(rig.spy.endpoint_updates(EndpointUpdateKind.FAILED)) == 2)
 
     run(test())
--- a/tests/node/test_discovery_reconnect.py
+++ b/tests/node/test_discovery_reconnect.py
@@ -8,7 +8,7 @@
 
 import pytest
 from endpoint_entries import entries, update_text
-from rig import PATIENCE, Discovery, Rig, Server, configuration, run, until
+from rig import TEST_TIMEOUT_SECONDS, Discovery, Rig, Server, configuration, run, until
 
 from moleport.config.endpoints import DiscoveryUpdate, parse_address
 from moleport.node import discovery_watch as discovery
@@ -77,8 +77,8 @@
             await asyncio.sleep(0.3)
             source.push_raw(normal_reply)
             source.push(9, full=True)
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
-            assert not rig.spy.lists(EndpointUpdateKind.FAILED) and len(source.targets) == 1
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT))
+            assert not rig.spy.endpoint_updates(EndpointUpdateKind.FAILED) and len(source.targets) == 1
 
     run(test())
 
@@ -115,7 +115,7 @@
 
     async def test() -> None:
         cases = [(mode, failure) for mode in ("pushed", "on_request") for failure in FAILURES]
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             delays_s = await asyncio.gather(*(seconds_until_applied(*case) for case in cases))
         assert {case: delay_s for case, delay_s in zip(cases, delays_s, strict=True) if delay_s >= 6.0} == {}
 
@@ -148,7 +148,7 @@
             rig.watch()
             await until(lambda: source.targets)
             source.push(9, full=True)
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT))
             assert rig.node.endpoint_list._backoff.next_delay_seconds() <= MIN_DELAY_SECONDS
             return delays
 
@@ -178,10 +178,10 @@
             rig.watch()  # must not open a second watch
             old.drop()
             new.push(2, server, full=True)  # each address has its own version numbers
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.SNAPSHOT))
-            assert not rig.spy.lists(EndpointUpdateKind.FAILED)
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.SNAPSHOT))
+            assert not rig.spy.endpoint_updates(EndpointUpdateKind.FAILED)
             rig.node.reload(replace(rig.config, discovery_address=parse_address("127.0.0.1:1")))
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.FAILED))
             assert rig.node._ready_endpoint_ids == {hash_name("s-1")}
             assert (len(old.targets), len(new.targets)) == (1, 1)
 
@@ -215,7 +215,7 @@
                 await until(lambda: source.targets)
                 source.drop()
                 await until(lambda: len(source.targets) == 2)
-                assert not rig.spy.lists(EndpointUpdateKind.FAILED)
+                assert not rig.spy.endpoint_updates(EndpointUpdateKind.FAILED)
 
     run(test())
 
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -205,9 +205,9 @@
         async with Server("s-0") as server, Rig(configuration_with(entries(range(3), server.address))) as rig:
             client = await rig.client()
             for number in (0, 1):
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
                 rig.node.endpoint_list.on_update(update(entries([number], state="Gone"), full=False))
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             assert ready_in_policy(rig) == rig.node._ready_endpoint_ids == ids([2])
 
     run(test())
@@ -218,7 +218,9 @@
 
     async def test() -> None:
         async with Rig(configuration_with(entries(range(MANY)))) as rig:
-            assert [len(event.endpoints) for event in rig.spy.lists(EndpointUpdateKind.CACHED)] == [MANY]
+            assert [
+                len(event.endpoints) for event in rig.spy.endpoint_updates(EndpointUpdateKind.CACHED)
+            ] == [MANY]
             assert ready_in_policy(rig) == rig.node._ready_endpoint_ids == ids(range(MANY))
 
     run(test())
@@ -249,7 +251,7 @@
 
     async def test() -> None:
         async with Rig(configuration_with(entries(range(3)))) as rig:
-            rig.spy.instead = fail_once
+            rig.spy.replace_actions = fail_once
             rig.node.endpoint_list.on_update(update(entries(range(1, 5))))
             assert rig.node._ready_endpoint_ids == ids(range(1, 5))
             assert ready_in_policy(rig) == ids(range(3))
@@ -268,7 +270,7 @@
 
     async def test() -> None:
         async with Rig(configuration_with(entries(range(3)))) as rig:
-            rig.spy.instead = fail_once
+            rig.spy.replace_actions = fail_once
             rig.node.endpoint_list.on_update(update(entries(range(2, MANY))))
             await wait_until_applied(rig)
             await until(lambda: ready_in_policy(rig) == ids(range(2, MANY)))
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -40,7 +40,7 @@
             await asyncio.sleep(index / REQUESTS_PER_SECOND)
             for _ in range(int(LOAD_SECONDS * REQUESTS_PER_SECOND) // len(clients)):
                 sent_at = asyncio.get_running_loop().time()
-                assert status(await clients[index].ask(request())) in (200, 503)
+                assert status(await clients[index].exchange(request())) in (200, 503)
                 pause_s = len(clients) / REQUESTS_PER_SECOND - (asyncio.get_running_loop().time() - sent_at)
                 await asyncio.sleep(max(0.0, pause_s))
 
--- a/tests/node/test_holds.py
+++ b/tests/node/test_holds.py
@@ -37,11 +37,13 @@
             active_client = await node.client()
             overdue_count = 0
             for round_number in range(HOLD_COUNT):
-                assert status(await active_client.ask(request())) == 200  # opens a connection to the server
+                assert (
+                    status(await active_client.exchange(request())) == 200
+                )  # opens a connection to the server
                 clients = [] if connection == "new" else [await node.client() for _ in range(HOLD_CLIENTS)]
                 if connection == "used":
                     for client in clients:
-                        assert status(await client.ask(request())) == 200
+                        assert status(await client.exchange(request())) == 200
                 # Each round stops the process at a different phase of the node's timers.
                 await asyncio.sleep(0.05 + round_number * 0.003)
                 earlier_count = len(server.seen)
@@ -58,7 +60,7 @@
                         client.writer.close()
                 await asyncio.sleep(hold_s - DISCONNECT_DELAY_S)
                 node.process.send_signal(signal.SIGCONT)
-                assert status(await active_client.ask(request())) == 200  # the process runs again
+                assert status(await active_client.exchange(request())) == 200  # the process runs again
                 await asyncio.sleep(0.05)
                 overdue_count += len(server.seen) - earlier_count - 1
             assert overdue_count == 0
@@ -88,7 +90,7 @@
                 version = 8
                 for _ in range(5):
                     for client in clients:
-                        assert status(await client.ask(request())) == 200
+                        assert status(await client.exchange(request())) == 200
                     earlier_count = len(draining.seen)
                     node.process.send_signal(signal.SIGSTOP)
                     for client in clients:
@@ -120,7 +122,7 @@
         async with Server("s-1") as server, program(configuration(server), tmp_path) as node:
             active_client = await node.client()
             for round_number in range(HOLD_COUNT):
-                assert status(await active_client.ask(request())) == 200
+                assert status(await active_client.exchange(request())) == 200
                 clients = [await node.client() for _ in range(HOLD_CLIENTS)]
                 await asyncio.sleep(0.05 + round_number * 0.003)
                 earlier_count = len(server.seen)
@@ -165,7 +167,7 @@
             assert stated_timeout_ms(server.seen[-1]) <= 2000 - total_s * 1000 + 150
             assert stated_timeout_ms(server.seen[0]) > 1900
             await asyncio.sleep(0.3)
-            assert status(await client.ask(request(X_Deadline="2000m"))) == 200
+            assert status(await client.exchange(request(X_Deadline="2000m"))) == 200
             # The idle time before the request is not subtracted.
             assert stated_timeout_ms(server.seen[-1]) > 1900
 
@@ -237,7 +239,7 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             monkeypatch.setattr(HoldDetector, "total_hold_ns", lambda _: next(hold_sums_ns, 22 * NS_PER_MS))
-            assert status(await (await rig.client()).ask(request())) == 200
+            assert status(await (await rig.client()).exchange(request())) == 200
             (outcome,) = rig.spy.outcomes()
             assert 0 <= outcome.elapsed_ns < 22 * NS_PER_MS
 
@@ -256,7 +258,7 @@
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             monkeypatch.setattr(Telemetry, "count", slow_count)
-            assert status(await (await rig.client()).ask(request(X_Deadline="2000m"))) == 200
+            assert status(await (await rig.client()).exchange(request(X_Deadline="2000m"))) == 200
             assert not rig.node.telemetry.violations
 
     run(test())
--- a/tests/node/test_large_lists.py
+++ b/tests/node/test_large_lists.py
@@ -31,7 +31,7 @@
 async def send_requests(client: Client) -> None:
     """Send one request after the other until cancelled."""
     while True:
-        assert status(await client.ask(request())) == 200
+        assert status(await client.exchange(request())) == 200
 
 
 def test_a_long_list_is_applied_in_slices_and_requests_are_served_between() -> None:
@@ -121,11 +121,11 @@
             for version in (9, 11):
                 source.push_bytes(update_text(version, entries(range(MANY), server.address)))
                 await until(lambda: len(rig.node._ready_endpoint_ids) == MANY)
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
                 source.push_bytes(update_text(version + 1, []))
                 await until(lambda: not rig.node.has_endpoints())
                 assert not rig.node.endpoint_list._known and not ready_in_policy(rig)
-                assert status(await client.ask(request())) == 503
+                assert status(await client.exchange(request())) == 503
 
     run(test())
 
@@ -159,10 +159,10 @@
             listed = entries(range(100, 100 + MANY), server.address)
             listed[index] |= invalid_field
             source.push_bytes(update_text(9, listed))
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.FAILED))
             assert f"s-{100 + index}" in caplog.text and len(caplog.text) < 500
             assert ready_in_policy(rig) == rig.node._ready_endpoint_ids == ids(range(10))
-            assert status(await (await rig.client()).ask(request())) == 200
+            assert status(await (await rig.client()).exchange(request())) == 200
             rig.watch()
             await until(lambda: len(source.targets) == 2)
             assert "from=0 " in source.targets[1]  # the changes in the rejected update are unknown
@@ -185,7 +185,7 @@
                 source._writers[-1].close()
             else:
                 source.push_raw(b"0\r\n\r\n")
-            await until(lambda: rig.spy.lists(EndpointUpdateKind.FAILED))
+            await until(lambda: rig.spy.endpoint_updates(EndpointUpdateKind.FAILED))
             await wait_until_applied(rig)
             assert len(rig.node._ready_endpoint_ids) == MANY
             # The failure must be the last event: an update after it would mean that a watch is open.
@@ -232,7 +232,7 @@
             new.push_bytes(update_text(2, entries(range(10, MANY + 10))))
             await until(lambda: rig.node._ready_endpoint_ids == ids(range(10, MANY + 10)))
             assert ready_in_policy(rig) == rig.node._ready_endpoint_ids
-            assert not rig.spy.lists(EndpointUpdateKind.FAILED)
+            assert not rig.spy.endpoint_updates(EndpointUpdateKind.FAILED)
 
     run(test())
 
@@ -265,7 +265,7 @@
                 clients = [await rig.client() for _ in range(5)]
                 for _ in range(3):  # the pools are without idle connections between two rounds
                     for client in clients:
-                        assert status(await client.ask(request())) == 200
+                        assert status(await client.exchange(request())) == 200
                     idle = {pool for pool in pools._pools.values() if pool.idle}
                     assert idle and idle <= set(pools.pools_with_idle_connections)
                     assert len(pools.pools_with_idle_connections) <= 15
--- a/tests/node/test_outcomes.py
+++ b/tests/node/test_outcomes.py
@@ -16,8 +16,8 @@
 
 import pytest
 from rig import (
-    LEAVE,
-    PATIENCE,
+    DISCONNECT_MODES,
+    TEST_TIMEOUT_SECONDS,
     LoopLag,
     Message,
     Rig,
@@ -25,13 +25,13 @@
     Server,
     answer,
     configuration,
-    grade,
+    never_respond,
     read_message,
     request,
+    request_class,
     reset,
+    respond_with,
     run,
-    says,
-    silent,
     status,
     until,
 )
@@ -50,70 +50,74 @@
 @pytest.mark.parametrize(
     ("script", "result", "expected_status"),
     [
-        (says(answer()), AttemptResult.OK, 200),
-        (says(CHUNKED_HEAD + b"2\r\nfr\r\n3\r\name\r\n0\r\n\r\n"), AttemptResult.OK, 200),
+        (respond_with(answer()), AttemptResult.OK, 200),
+        (respond_with(CHUNKED_HEAD + b"2\r\nfr\r\n3\r\name\r\n0\r\n\r\n"), AttemptResult.OK, 200),
         (
-            says(b"HTTP/1.1 200 OK\r\n\r\nframe", close=True),
+            respond_with(b"HTTP/1.1 200 OK\r\n\r\nframe", close=True),
             AttemptResult.OK,
             200,
         ),  # the end of the connection ends the body
-        (says(b"HTTP/1.1 200 OK\r\n\r\nframe", abort=True), AttemptResult.RESET, 502),
-        (says(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfra", abort=True), AttemptResult.RESET, 502),
-        (says(b"HTTP/1.0 200 OK\r\n\r\nframe", close=True), AttemptResult.OK, 200),
-        (says(b"HTTP/1.0 200 OK\r\n\r\nframe", abort=True), AttemptResult.RESET, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\n\r\nframe", abort=True), AttemptResult.RESET, 502),
         (
-            says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\n\r\nfra", abort=True),
+            respond_with(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfra", abort=True),
             AttemptResult.RESET,
             502,
         ),
+        (respond_with(b"HTTP/1.0 200 OK\r\n\r\nframe", close=True), AttemptResult.OK, 200),
+        (respond_with(b"HTTP/1.0 200 OK\r\n\r\nframe", abort=True), AttemptResult.RESET, 502),
         (
-            says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nframe", close=True),
+            respond_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: identity\r\n\r\nfra", abort=True),
+            AttemptResult.RESET,
+            502,
+        ),
+        (
+            respond_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nframe", close=True),
             AttemptResult.ERROR,
             502,
         ),
-        (says(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\n\r\n", close=True), AttemptResult.REJECTED, 503),
-        (says(b"HTTP/1.1 500 X\r\n\r\nframe", close=True), AttemptResult.ERROR, 502),
-        (says(b"HTTP/1.1 103 Early Hints\r\n\r\n" + answer()), AttemptResult.OK, 200),
-        (says(answer(500)), AttemptResult.ERROR, 502),
-        (says(answer(404)), AttemptResult.CLIENT_ERROR, 404),
-        (says(answer(400)), AttemptResult.CLIENT_ERROR, 400),
-        (says(answer(419)), AttemptResult.CLIENT_ERROR, 419),
-        (says(answer(422)), AttemptResult.CLIENT_ERROR, 422),
-        (says(answer(430)), AttemptResult.CLIENT_ERROR, 430),
-        (says(answer(499)), AttemptResult.CLIENT_ERROR, 499),
-        (says(b"HTTP/1.1 499\r\nContent-Length: 0\r\n\r\n"), AttemptResult.CLIENT_ERROR, 499),
-        (says(answer(600)), AttemptResult.ERROR, 502),
-        (says(answer(999)), AttemptResult.ERROR, 502),
-        (says(answer(408)), AttemptResult.ERROR, 502),
-        (says(answer(429)), AttemptResult.ERROR, 502),
-        (says(answer(503)), AttemptResult.ERROR, 502),
-        (says(answer(504)), AttemptResult.ERROR, 502),
-        (says(answer(503, X_Not_Run="0")), AttemptResult.ERROR, 502),
-        (says(answer(503, **REJECTION_HEADERS)), AttemptResult.REJECTED, 503),
-        (says(answer(504, **REJECTION_HEADERS)), AttemptResult.REJECTED, 503),
-        (says(answer(500, **REJECTION_HEADERS)), AttemptResult.ERROR, 502),
-        (says(b"", close=True), AttemptResult.RESET, 502),
-        (says(b"", abort=True), AttemptResult.RESET, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Le", close=True), AttemptResult.RESET, 502),
-        (says(answer()[:-1], close=True), AttemptResult.RESET, 502),
-        (says(answer()[:-1], abort=True), AttemptResult.RESET, 502),
-        (says(CHUNKED_HEAD + b"5\r\nframe\r\n", close=True), AttemptResult.RESET, 502),
-        (says(CHUNKED_HEAD + b"5\r\nframe\r\n", abort=True), AttemptResult.RESET, 502),
-        (says(CHUNKED_HEAD + b"5\r\nframe\r\n0\r\n", abort=True), AttemptResult.RESET, 502),
-        (says(b"SSH-2.0-server\r\n"), AttemptResult.ERROR, 502),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), AttemptResult.ERROR, 502),
-        (says(answer(Content_length="-1")), AttemptResult.ERROR, 502),
-        (says(answer(Content_length="3")), AttemptResult.ERROR, 502),
+        (respond_with(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\n\r\n", close=True), AttemptResult.REJECTED, 503),
+        (respond_with(b"HTTP/1.1 500 X\r\n\r\nframe", close=True), AttemptResult.ERROR, 502),
+        (respond_with(b"HTTP/1.1 103 Early Hints\r\n\r\n" + answer()), AttemptResult.OK, 200),
+        (respond_with(answer(500)), AttemptResult.ERROR, 502),
+        (respond_with(answer(404)), AttemptResult.CLIENT_ERROR, 404),
+        (respond_with(answer(400)), AttemptResult.CLIENT_ERROR, 400),
+        (respond_with(answer(419)), AttemptResult.CLIENT_ERROR, 419),
+        (respond_with(answer(422)), AttemptResult.CLIENT_ERROR, 422),
+        (respond_with(answer(430)), AttemptResult.CLIENT_ERROR, 430),
+        (respond_with(answer(499)), AttemptResult.CLIENT_ERROR, 499),
+        (respond_with(b"HTTP/1.1 499\r\nContent-Length: 0\r\n\r\n"), AttemptResult.CLIENT_ERROR, 499),
+        (respond_with(answer(600)), AttemptResult.ERROR, 502),
+        (respond_with(answer(999)), AttemptResult.ERROR, 502),
+        (respond_with(answer(408)), AttemptResult.ERROR, 502),
+        (respond_with(answer(429)), AttemptResult.ERROR, 502),
+        (respond_with(answer(503)), AttemptResult.ERROR, 502),
+        (respond_with(answer(504)), AttemptResult.ERROR, 502),
+        (respond_with(answer(503, X_Not_Run="0")), AttemptResult.ERROR, 502),
+        (respond_with(answer(503, **REJECTION_HEADERS)), AttemptResult.REJECTED, 503),
+        (respond_with(answer(504, **REJECTION_HEADERS)), AttemptResult.REJECTED, 503),
+        (respond_with(answer(500, **REJECTION_HEADERS)), AttemptResult.ERROR, 502),
+        (respond_with(b"", close=True), AttemptResult.RESET, 502),
+        (respond_with(b"", abort=True), AttemptResult.RESET, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\nContent-Le", close=True), AttemptResult.RESET, 502),
+        (respond_with(answer()[:-1], close=True), AttemptResult.RESET, 502),
+        (respond_with(answer()[:-1], abort=True), AttemptResult.RESET, 502),
+        (respond_with(CHUNKED_HEAD + b"5\r\nframe\r\n", close=True), AttemptResult.RESET, 502),
+        (respond_with(CHUNKED_HEAD + b"5\r\nframe\r\n", abort=True), AttemptResult.RESET, 502),
+        (respond_with(CHUNKED_HEAD + b"5\r\nframe\r\n0\r\n", abort=True), AttemptResult.RESET, 502),
+        (respond_with(b"SSH-2.0-server\r\n"), AttemptResult.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), AttemptResult.ERROR, 502),
+        (respond_with(answer(Content_length="-1")), AttemptResult.ERROR, 502),
+        (respond_with(answer(Content_length="3")), AttemptResult.ERROR, 502),
         (
-            says(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"),
+            respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"),
             AttemptResult.ERROR,
             502,
         ),  # rejected by its Content-Length alone
-        (says(CHUNKED_HEAD + b"5\r\nframe\r\nzz\r\nframe\r\n0\r\n\r\n"), AttemptResult.ERROR, 502),
-        (says(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000), AttemptResult.ERROR, 502),
-        (says(b"HTTP/1.1 100 Continue\r\n\r\n" * 99 + answer()), AttemptResult.ERROR, 502),
-        (says(answer() + b"\x00noise"), AttemptResult.OK, 200),
-        (says(answer(body=b"x" * 65537)), AttemptResult.ERROR, 502),
+        (respond_with(CHUNKED_HEAD + b"5\r\nframe\r\nzz\r\nframe\r\n0\r\n\r\n"), AttemptResult.ERROR, 502),
+        (respond_with(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: p\r\n" * 9000), AttemptResult.ERROR, 502),
+        (respond_with(b"HTTP/1.1 100 Continue\r\n\r\n" * 99 + answer()), AttemptResult.ERROR, 502),
+        (respond_with(answer() + b"\x00noise"), AttemptResult.OK, 200),
+        (respond_with(answer(body=b"x" * 65537)), AttemptResult.ERROR, 502),
     ],
 )
 def test_each_outcome(script: Script, result: AttemptResult, expected_status: int) -> None:
@@ -122,7 +126,7 @@
     async def test() -> None:
         async with Server("s-1", script) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
-            response = await client.ask(request("order"))
+            response = await client.exchange(request("order"))
             assert status(response) == expected_status
             (outcome,) = rig.spy.outcomes()
             is_answered = result in (AttemptResult.OK, AttemptResult.CLIENT_ERROR)
@@ -162,7 +166,7 @@
     async def test() -> None:
         async with Server("s-1", send_incomplete_response) as one, Rig(configuration(one)) as rig:
             client = await rig.client()
-            response = await client.ask(request("order"))
+            response = await client.exchange(request("order"))
             assert (status(response), response.body) == ((200, b"cut!") if is_complete else (502, b""))
             async with Server("s-2") as other:
                 rig.node.endpoint_list.on_update(
@@ -170,7 +174,7 @@
                 )
                 while len(one.seen) < 2 or len(other.seen) < 2:  # until s-1 gets a request first
                     before = len(other.seen)
-                    response = await client.ask(request())
+                    response = await client.exchange(request())
                     is_answered_by_other = len(other.seen) > before
                     assert (status(response), response.body) == (
                         200,
@@ -231,10 +235,10 @@
     async def test() -> None:
         async with Server("s-1", script) as server:
             document = configuration(server)
-            document["settings"]["Grades"].append(grade("quick", "once", deadline_ms=150))
+            document["settings"]["Grades"].append(request_class("quick", "once", deadline_ms=150))
             async with Rig(document) as rig:
                 client = await rig.client()
-                response = await client.ask(request("quick" if how == "silent" else "order"))
+                response = await client.exchange(request("quick" if how == "silent" else "order"))
                 assert (status(response), response.body) == (
                     expected_status,
                     body if expected_status == 200 else b"",
@@ -259,7 +263,7 @@
         with connection:
             connection.recv(1 << 16)
             request_received.set()
-            may_respond.wait(PATIENCE)
+            may_respond.wait(TEST_TIMEOUT_SECONDS)
             connection.sendall(UNFRAMED_HEADS[head] + b"frame")
             connection.shutdown(socket.SHUT_WR)
             if is_reset:
@@ -276,7 +280,9 @@
                 client.writer.write(request("order"))
                 await until(request_received.is_set)
                 may_respond.set()
-                thread.join(PATIENCE)  # blocks the node's event loop until the kernel has received it all
+                thread.join(
+                    TEST_TIMEOUT_SECONDS
+                )  # blocks the node's event loop until the kernel has received it all
                 response = await client.read()
                 assert (status(response), response.body) == (expected_status, b"" if is_reset else b"frame")
 
@@ -289,7 +295,7 @@
             server.stop()
             async with Rig(configuration(server)) as rig:
                 client = await rig.client()
-                response = await client.ask(request("order"))
+                response = await client.exchange(request("order"))
                 assert status(response) == 503
                 assert [outcome.result for outcome in rig.spy.outcomes()] == [AttemptResult.CONNECT_FAILED]
                 # The latency objective of the class, limited to the longest Retry-After that clients respect.
@@ -330,7 +336,7 @@
         with Unreachable() as server.address:
             async with Rig(configuration(server, DialTimeout=100_000_000)) as rig:
                 client = await rig.client()
-                assert status(await client.ask(request("order"))) == 503
+                assert status(await client.exchange(request("order"))) == 503
                 (outcome,) = rig.spy.outcomes()
                 assert outcome.result is AttemptResult.CONNECT_FAILED
                 await until(lambda: rig.node._pools.sockets == 0)
@@ -356,7 +362,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", LEAVE)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_connecting_is_cancelled_if_the_client_disconnects(how: str) -> None:
     """The node cannot tell a closed client connection from a half-closed one."""
 
@@ -367,7 +373,7 @@
                 client = await rig.client()
                 client.writer.write(request("order"))
                 await until(lambda: rig.node.requests.active)
-                client.leave(how)
+                client.disconnect(how)
                 if how == "sending":
                     response = await client.read()
                     assert (status(response), response.headers["retry-after"]) == (503, "1.500")
@@ -381,7 +387,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", LEAVE)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_a_request_queued_for_its_key_is_dropped_if_its_client_disconnects(how: str) -> None:
     release = asyncio.Event()
 
@@ -399,7 +405,7 @@
                 await until(lambda: server.seen)
                 second.writer.write(request("order", X_Key="7f3a"))
                 await until(lambda: len(rig.node.requests.active) == 2)
-                second.leave(how)
+                second.disconnect(how)
                 if how == "sending":
                     response = await second.read()
                     assert (status(response), response.headers["retry-after"]) == (503, "0.100")
@@ -423,12 +429,12 @@
         async with Server("s-1", responds_after_deadline) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             async with LoopLag() as lag:
-                assert status(await client.ask(request("order", X_Deadline="200m"))) in (502, 504)
+                assert status(await client.exchange(request("order", X_Deadline="200m"))) in (502, 504)
             results = [outcome.result for outcome in rig.spy.outcomes()]
             assert results in lag.results_of_an_expired_attempt()
             await until(lambda: server.open == 0)  # its connection is closed, not pooled
             # The client's connection can still be used.
-            assert status(await client.ask(request(target="/nowhere"))) == 404
+            assert status(await client.exchange(request(target="/nowhere"))) == 404
             assert not rig.node.requests.active
 
     run(test())
@@ -453,10 +459,10 @@
         return None
 
     async def test() -> None:
-        async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = forward_then_fail
+        async with Server("s-1", never_respond) as server, Rig(configuration(server)) as rig:
+            rig.spy.replace_actions = forward_then_fail
             for client in [await rig.client() for _ in timeouts_ns]:
-                assert status(await client.ask(request("order"))) == 502
+                assert status(await client.exchange(request("order"))) == 502
             assert {one.result for one in rig.spy.outcomes()} == {AttemptResult.TIMEOUT}
             assert len(elapsed_ns) == len(timeouts_ns)
             assert all(
@@ -488,9 +494,9 @@
     async def test() -> None:
         async with Server("s-1", script) as server, Rig(configuration(server)) as rig:
             actions = [api.Forward(1, hash_name("s-1"), int(hold_s / 2 * 1e9))]
-            rig.spy.instead = lambda event: actions if isinstance(event, api.Request) else None
+            rig.spy.replace_actions = lambda event: actions if isinstance(event, api.Request) else None
             client = await rig.client()
-            assert status(await client.ask(request())) == 200
+            assert status(await client.exchange(request())) == 200
             (outcome,) = rig.spy.outcomes()
             assert outcome.result is AttemptResult.OK
             assert outcome.elapsed_ns < hold_s / 2 * 1e9
@@ -503,9 +509,9 @@
 def test_a_request_that_the_policy_never_forwards_fails_at_its_deadline() -> None:
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
-            rig.spy.instead = lambda event: [] if isinstance(event, api.Request) else None
+            rig.spy.replace_actions = lambda event: [] if isinstance(event, api.Request) else None
             client = await rig.client()
-            assert status(await client.ask(request(X_Deadline="150m"))) == 504
+            assert status(await client.exchange(request(X_Deadline="150m"))) == 504
             assert [event for event in rig.spy.events if isinstance(event, api.ClientDisconnected)]
             assert not rig.node.requests.active
 
@@ -514,11 +520,11 @@
 
 def test_a_client_that_disconnects_is_reported_once_and_its_attempt_ends() -> None:
     async def test() -> None:
-        async with Server("s-1", silent) as server, Rig(configuration(server)) as rig:
+        async with Server("s-1", never_respond) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             client.writer.write(request())
             await until(lambda: server.seen)
-            client.leave("reset")
+            client.disconnect("reset")
             await until(lambda: server.open == 0)
             disconnections = [event for event in rig.spy.events if isinstance(event, api.ClientDisconnected)]
             assert len(disconnections) == 1
@@ -532,13 +538,13 @@
 def test_a_failed_attempt_is_retried_at_the_other_server() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(b"", abort=True)) as failing,
+            Server("s-1", respond_with(b"", abort=True)) as failing,
             Server("s-2") as healthy,
             Rig(configuration(failing, healthy)) as rig,
         ):
             client = await rig.client()
             for _ in range(8):
-                assert (await client.ask(request())).body == b"frame"
+                assert (await client.exchange(request())).body == b"frame"
             attempts = [(one.request_id, one.attempt_index) for one in rig.spy.outcomes()]
             assert len(set(attempts)) == len(attempts) >= 8
             assert failing.seen and healthy.seen
@@ -549,14 +555,14 @@
 def test_a_client_error_is_not_retried_and_does_not_count_as_a_failure_of_the_server() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(answer(400))) as one,
-            Server("s-2", says(answer(400))) as other,
+            Server("s-1", respond_with(answer(400))) as one,
+            Server("s-2", respond_with(answer(400))) as other,
             Rig(configuration(one, other)) as rig,
         ):
             for _ in range(5):
                 client = await rig.client()
-                assert status(await client.ask(request())) == 400
-                assert await client.ended() == b""
+                assert status(await client.exchange(request())) == 400
+                assert await client.read_to_end() == b""
             assert len(one.seen) + len(other.seen) == 5
             assert not any(endpoint.failure_rate for endpoint in rig.spy._balancer._endpoints.by_id.values())
 
@@ -577,8 +583,11 @@
 )
 def test_an_invalid_load_report_is_ignored(load: str) -> None:
     async def test() -> None:
-        async with Server("s-1", says(answer(X_Load=load))) as server, Rig(configuration(server)) as rig:
-            assert status(await (await rig.client()).ask(request())) == 200
+        async with (
+            Server("s-1", respond_with(answer(X_Load=load))) as server,
+            Rig(configuration(server)) as rig,
+        ):
+            assert status(await (await rig.client()).exchange(request())) == 200
             assert [outcome.load_report for outcome in rig.spy.outcomes()] == [()]
 
     run(test())
@@ -587,12 +596,12 @@
 def test_a_second_response_to_one_request_closes_the_connection_and_is_not_forwarded() -> None:
     async def test() -> None:
         async with (
-            Server("s-1", says(answer() + answer(body=b"other"))) as server,
+            Server("s-1", respond_with(answer() + answer(body=b"other"))) as server,
             Rig(configuration(server)) as rig,
         ):
             client = await rig.client()
             for _ in range(3):
-                assert (await client.ask(request())).body == b"frame"
+                assert (await client.exchange(request())).body == b"frame"
             assert server.connections == 3
 
     run(test())
@@ -626,7 +635,7 @@
             deadline_header = {"X_Deadline": "300m"} if how == "time-out" else {}
             sent = request("order", body=b"x" * 65536, **deadline_header)
             client.writer.write(sent)
-            accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), PATIENCE)
+            accepted, _ = await asyncio.wait_for(loop.sock_accept(listening), TEST_TIMEOUT_SECONDS)
             await until(
                 lambda: any(
                     one.attempts[0]._connection for one in rig.node.requests.active.values() if one.attempts
@@ -636,7 +645,7 @@
                 accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 accepted.close()
             elif how != "time-out":
-                client.leave("reset" if how == "client reset" else "sending")
+                client.disconnect("reset" if how == "client reset" else "sending")
             if how != "client reset":
                 assert status(await client.read()) == 503
             await until(lambda: not rig.node.requests.active)
@@ -649,7 +658,7 @@
             if how != "reset":
                 accepted.setblocking(False)
                 received_byte_count = 0
-                while data := await asyncio.wait_for(loop.sock_recv(accepted, 1 << 16), PATIENCE):
+                while data := await asyncio.wait_for(loop.sock_recv(accepted, 1 << 16), TEST_TIMEOUT_SECONDS):
                     received_byte_count += len(data)
                 assert 0 < received_byte_count < len(sent)
                 accepted.close()
@@ -670,7 +679,7 @@
         async with Server("s-1", send_endless_chunks) as server, Rig(configuration(server)) as rig:
             client = await rig.client()
             async with LoopLag() as lag:
-                assert status(await client.ask(request("order", X_Deadline="300m"))) == 504
+                assert status(await client.exchange(request("order", X_Deadline="300m"))) == 504
             results = [outcome.result for outcome in rig.spy.outcomes()]
             assert results in lag.results_of_an_expired_attempt()
             await until(lambda: not server.open and not rig.node._pools.sockets)
@@ -696,7 +705,7 @@
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
             monkeypatch.setattr(ServerConnection, "connection_made", expire_on_connect)
             client = await rig.client()
-            assert status(await client.ask(request("order"))) == 503
+            assert status(await client.exchange(request("order"))) == 503
             assert [one.result for one in rig.spy.outcomes()] == [result]
             assert not server.seen and not rig.node.requests.active
 
@@ -736,7 +745,10 @@
         unreachable = Unreachable(is_backlog_full=slow_step == "connect")
         async with Server("s-1", reset_when_listed) as server:
             document = configuration(server)
-            class_entry = grade("keyed", "by_key") | {"Group": group, "MemorySpan": int(window_s * 10**9)}
+            class_entry = request_class("keyed", "by_key") | {
+                "Group": group,
+                "MemorySpan": int(window_s * 10**9),
+            }
             document["settings"]["Grades"].append(class_entry)
             with unreachable as second_server.address:
                 async with Rig(document) as rig:
@@ -781,7 +793,7 @@
             os.write(writers[0].get_extra_info("socket").fileno(), answer(body=b"first"))
             rig.node.requests._on_deadline(pending_request)  # in the same loop iteration
             assert status(await client.read()) == 504
-            assert (await client.ask(request(body=b"next"))).body == b"next"
+            assert (await client.exchange(request(body=b"next"))).body == b"next"
             assert [one.result for one in rig.spy.outcomes()] == [AttemptResult.CANCELLED, AttemptResult.OK]
 
     run(test())
--- a/tests/node/test_own_faults.py
+++ b/tests/node/test_own_faults.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from rig import Client, Server, answer, configuration, request, run, says, status, until
+from rig import Client, Server, answer, configuration, request, respond_with, run, status, until
 from test_process import Program, program
 
 from soak.shims import Faults
@@ -39,7 +39,7 @@
             async with asyncio.timeout(0.5):
                 assert status(await client.read()) == 200
             new_client = Client(*await asyncio.open_connection(*node.address))
-            assert status(await new_client.ask(request())) == 200
+            assert status(await new_client.exchange(request())) == 200
 
     run(test())
 
@@ -55,7 +55,7 @@
     "ENETUNREACH",
     "EHOSTUNREACH",
 )
-RESPOND_AND_CLOSE = says(answer(Connection="close"))  # each request needs a new connection
+RESPOND_AND_CLOSE = respond_with(answer(Connection="close"))  # each request needs a new connection
 
 
 async def send_steadily(node: Program, span_s: float, interval_s: float) -> Counter[int]:
@@ -64,7 +64,7 @@
     async def send_request(number: int) -> int:
         await asyncio.sleep(number * interval_s)
         client = await node.client()
-        status_code = status(await client.ask(request()))
+        status_code = status(await client.exchange(request()))
         client.writer.close()
         return status_code
 
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -22,17 +22,17 @@
 
 import pytest
 from rig import (
-    PATIENCE,
+    TEST_TIMEOUT_SECONDS,
     Client,
     Discovery,
     Message,
     Server,
     answer,
     configuration,
-    grade,
+    never_respond,
     request,
+    request_class,
     run,
-    silent,
     status,
     until,
 )
@@ -95,7 +95,9 @@
     process = await start(path, **options)
     try:
         assert process.stderr is not None
-        while b"serving on" not in (line := await asyncio.wait_for(process.stderr.readline(), PATIENCE)):
+        while b"serving on" not in (
+            line := await asyncio.wait_for(process.stderr.readline(), TEST_TIMEOUT_SECONDS)
+        ):
             assert line, "the process ended before it listened"
         host, port = line.split()[-1].decode().rsplit(":", 1)
         yield Program(process, (host, int(port)))
@@ -120,7 +122,7 @@
     built.touch()
     os.utime(tmp_path / "requirements.txt", (0, 0))
     build = tomllib.loads((tmp_path / "deploy" / "balancer.toml").read_text())["build"]
-    subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True, timeout=PATIENCE * 2)
+    subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True, timeout=TEST_TIMEOUT_SECONDS * 2)
     sources = [path for name in ("moleport",) for path in (tmp_path / name).rglob("*.py")]
     assert sources
     assert not [path for path in sources if not Path(cache_from_source(str(path))).exists()]
@@ -129,7 +131,7 @@
     import_log = subprocess.run(
         [sys.executable, "-v", "-c", import_all],
         cwd=tmp_path,
-        timeout=PATIENCE,
+        timeout=TEST_TIMEOUT_SECONDS,
         capture_output=True,
         text=True,
         env=os.environ | {"PYTHONDONTWRITEBYTECODE": "1"},
@@ -155,22 +157,22 @@
             program(configuration(server), tmp_path, code=SLOW_SHUTDOWN_CODE) as node,
         ):
             in_flight_client, idle_client = await node.client(), await node.client()
-            assert status(await idle_client.ask(request(body=b"before"))) == 200
+            assert status(await idle_client.exchange(request(body=b"before"))) == 200
             in_flight_client.writer.write(request(body=b"held"))
             await until(lambda: len(server.seen) == 2)
             node.process.send_signal(signal.SIGTERM)
             health_client = await node.client()
-            health = await health_client.ask(request(target="/up", method="GET"))
+            health = await health_client.exchange(request(target="/up", method="GET"))
             while status(health) == 200:  # until the node has handled the signal
-                health = await health_client.ask(request(target="/up", method="GET"))
+                health = await health_client.exchange(request(target="/up", method="GET"))
             new_client = await node.client()
-            response = await new_client.ask(request(body=b"after"))
+            response = await new_client.exchange(request(body=b"after"))
             assert (response.body, response.headers.get("connection")) == (b"after", None)
-            assert await idle_client.ended() == b""
+            assert await idle_client.read_to_end() == b""
             release.set()
             response = await in_flight_client.read()
             assert (response.body, response.headers["connection"]) == (b"held", "close")
-            assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+            assert await asyncio.wait_for(node.process.wait(), TEST_TIMEOUT_SECONDS) == 0
 
     run(test())
 
@@ -203,7 +205,7 @@
                 assert [(await each.read()).body for each in (client, half_client)] == [b"held", b"half"]
                 for each in (client, half_client):
                     each.writer.close()
-                assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+                assert await asyncio.wait_for(node.process.wait(), TEST_TIMEOUT_SECONDS) == 0
 
     run(test())
 
@@ -215,16 +217,16 @@
     """The client gets an error response before the node ends, however long its deadline is."""
 
     async def test() -> None:
-        async with Server("s-1", silent) as server:
+        async with Server("s-1", never_respond) as server:
             document = configuration(server)
-            document["settings"]["Grades"][1] = grade("order", "once", deadline_ms, deadline_ms)
+            document["settings"]["Grades"][1] = request_class("order", "once", deadline_ms, deadline_ms)
             async with program(document, tmp_path) as node:
                 client = await node.client()
                 client.writer.write(request("order"))
                 await until(lambda: server.seen)
                 node.process.send_signal(signal.SIGTERM)
                 assert status(await client.read()) in (502, 504)
-                assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+                assert await asyncio.wait_for(node.process.wait(), TEST_TIMEOUT_SECONDS) == 0
 
     run(test())
 
@@ -245,7 +247,7 @@
     assert MIN_SERVE_ON_SECONDS > 0.4  # new connections arrive for up to 0.4 s after SIGTERM
     document = configuration()
     document["settings"]["Grades"] = [
-        grade("page", "once", deadline_ms, latency_objective_ms) | {"LateShare": late_weight_ratio}
+        request_class("page", "once", deadline_ms, latency_objective_ms) | {"LateShare": late_weight_ratio}
     ]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document))
@@ -290,7 +292,7 @@
                 for text, named_key in unusable_files:
                     path.write_text(text)
                     node.process.send_signal(signal.SIGHUP)
-                    assert named_key in await asyncio.wait_for(stderr.readline(), PATIENCE)
+                    assert named_key in await asyncio.wait_for(stderr.readline(), TEST_TIMEOUT_SECONDS)
                 path.write_text(json.dumps(document | {"discovery": new.address}))
                 node.process.send_signal(signal.SIGHUP)
                 await until(lambda: new.targets)
@@ -302,7 +304,7 @@
                 ).body == b"held"  # the node kept the endpoint list and the request
                 new.push(3, new_server, full=True)
                 while not new_server.seen:
-                    assert status(await other_client.ask(request("order"))) == 200
+                    assert status(await other_client.exchange(request("order"))) == 200
                 assert node.process.returncode is None
 
     run(test())
@@ -340,7 +342,7 @@
     while True:
         try:
             client = client or await node.client()
-            return await client.ask(request_bytes)
+            return await client.exchange(request_bytes)
         except (asyncio.IncompleteReadError, OSError):
             client = None
 
@@ -372,7 +374,7 @@
             client = await node.client()
             if checks_readiness:
                 client.writer.write(UP)
-            await client.ended()
+            await client.read_to_end()
             client.writer.close()
         await asyncio.sleep(0)
 
@@ -438,7 +440,7 @@
         ):
             document = configuration(discovery=discovery.address)
             document["settings"]["MembershipMode"] = mode
-            document["settings"]["Grades"] = [grade("order", "once", 60_000, 60_000)]
+            document["settings"]["Grades"] = [request_class("order", "once", 60_000, 60_000)]
             document["limits"]["sockets"] = sockets
             # The list has many endpoints with the same address, so that the policy admits all requests.
             names = [f"{name}-{number}" for name in ("s-1", "s-2") for number in range(sockets // 8)]
@@ -553,7 +555,7 @@
 
     async def test() -> None:
         process = await start(path)
-        _, stderr = await asyncio.wait_for(process.communicate(), PATIENCE)
+        _, stderr = await asyncio.wait_for(process.communicate(), TEST_TIMEOUT_SECONDS)
         assert process.returncode == 2
         (line,) = stderr.decode().splitlines()
         assert named_key in line
@@ -572,7 +574,7 @@
 
     async def test() -> None:
         process = await start(path)
-        _, stderr = await asyncio.wait_for(process.communicate(), PATIENCE)
+        _, stderr = await asyncio.wait_for(process.communicate(), TEST_TIMEOUT_SECONDS)
         assert (process.returncode, stderr.count(b"\n"), b"BALANCER_CONFIG" in stderr) == (2, 1, True)
 
     run(test())
@@ -599,9 +601,11 @@
                 discovery.push_raw(reply)
                 discovery.push(9, listed, full=True)
                 assert process.stderr is not None
-                assert b"serving on" in await asyncio.wait_for(process.stderr.readline(), PATIENCE)
+                assert b"serving on" in await asyncio.wait_for(
+                    process.stderr.readline(), TEST_TIMEOUT_SECONDS
+                )
                 client = Client(*await asyncio.open_connection(host, port))
-                assert status(await client.ask(request())) == 200
+                assert status(await client.exchange(request())) == 200
                 assert (len(removed.seen), len(listed.seen)) == (0, 1)
             finally:
                 process.kill()
@@ -620,7 +624,7 @@
             document["settings"]["MembershipMode"] = "pushed"
             async with program(document, tmp_path) as node:
                 assert discovery.targets
-                assert status(await (await node.client()).ask(request())) == 200
+                assert status(await (await node.client()).exchange(request())) == 200
 
     run(test())
 
@@ -646,7 +650,7 @@
                 path.write_text(text)
                 async with asyncio.timeout(2.0):
                     await until(lambda: new.targets)
-                assert status(await (await node.client()).ask(request())) == 200
+                assert status(await (await node.client()).exchange(request())) == 200
 
     run(test())
 
@@ -676,9 +680,9 @@
                 configuration(server), tmp_path, code=SIGHUP_AT_IMPORT_CODE.format(module=module)
             ) as node,
         ):
-            assert status(await (await node.client()).ask(request())) == 200
+            assert status(await (await node.client()).exchange(request())) == 200
             node.process.send_signal(signal.SIGTERM)
-            assert await asyncio.wait_for(node.process.wait(), PATIENCE) == 0
+            assert await asyncio.wait_for(node.process.wait(), TEST_TIMEOUT_SECONDS) == 0
 
     run(test())
 
--- a/tests/node/test_readiness.py
+++ b/tests/node/test_readiness.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from rig import PATIENCE, Client, Server, configuration, read_message, request, run, status
+from rig import TEST_TIMEOUT_SECONDS, Client, Server, configuration, read_message, request, run, status
 from test_process import start
 
 ROOT = Path(__file__).parents[2]
@@ -113,7 +113,7 @@
         except OSError:
             return False
         try:
-            return status(await client.ask(request(target="/up", method="GET"))) == 200
+            return status(await client.exchange(request(target="/up", method="GET"))) == 200
         except (OSError, asyncio.IncompleteReadError):
             return False
         finally:
@@ -212,7 +212,7 @@
             path = tmp_path / "config.json"
             path.write_text(json.dumps(document))
             process = await start(path)
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
                 await agent.has_watch.wait()
                 await asyncio.sleep(0.1)
                 loop = asyncio.get_running_loop()
--- a/tests/policy/test_candidates.py
+++ b/tests/policy/test_candidates.py
@@ -16,7 +16,7 @@
 from hypothesis import given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
-from world import SECOND, Node, server, settings, whole
+from world import SECOND_NS, Node, server, settings, snapshot
 
 from moleport.policy import interface as api
 from moleport.policy.candidate_index import CandidateIndex
@@ -51,7 +51,7 @@
 def node_with_endpoints(count: int, **changes: object) -> Node:
     """Return a node with this number of ready endpoints in nine zones."""
     node = Node(settings(**changes), servers=0)
-    node.tell(whole(*(zoned_endpoint(number) for number in range(count))))
+    node.handle(snapshot(*(zoned_endpoint(number) for number in range(count))))
     return node
 
 
@@ -101,7 +101,7 @@
             zoned_endpoint(9),
         ]
         costs[count] = [
-            count_bytecodes(lambda node=node, change=change: node.tell(delta_update(change)))
+            count_bytecodes(lambda node=node, change=change: node.handle(delta_update(change)))
             for change in changes
         ]
     assert max(max(costs_of_count) for costs_of_count in costs.values()) < 5000
@@ -111,7 +111,7 @@
     """Guards against a snapshot that costs much more than reading its entries."""
     node = node_with_endpoints(2000, zone=0)
     entries = [zoned_endpoint(number) for number in range(2000)]
-    assert count_bytecodes(lambda: node.tell(whole(*entries[1:]))) < 100 * 2000
+    assert count_bytecodes(lambda: node.handle(snapshot(*entries[1:]))) < 100 * 2000
 
 
 def test_a_request_in_a_full_fleet_does_not_check_every_endpoint() -> None:
@@ -119,7 +119,7 @@
     node = node_with_endpoints(1500)
     for backend in node.balancer._endpoints.by_id.values():
         backend.rejection_rates[0] = 1.0
-    assert count_bytecodes(lambda: node.ask(0, 7)) < 25_000
+    assert count_bytecodes(lambda: node.request(0, 7)) < 25_000
 
 
 def test_nodes_with_the_same_list_agree_on_keys() -> None:
@@ -127,8 +127,8 @@
     new_node = node_with_endpoints(40, zone=1)
     old_node = Node(settings(zone=1), servers=0, seed=7)
     for number in Random(3).sample(range(80), 80):
-        old_node.tell(delta_update(zoned_endpoint(number)._replace(weight=3.0)))
-    old_node.tell(whole(*(zoned_endpoint(number) for number in reversed(range(40)))))
+        old_node.handle(delta_update(zoned_endpoint(number)._replace(weight=3.0)))
+    old_node.handle(snapshot(*(zoned_endpoint(number) for number in reversed(range(40)))))
     assert [new_node.serve(key) for key in range(1, 400)] == [old_node.serve(key) for key in range(1, 400)]
 
 
@@ -137,7 +137,7 @@
     program = (
         "from test_candidates import *\n"
         "node = node_with_endpoints(300, zone=2)\n"
-        "node.tell(delta_update(*(\n"
+        "node.handle(delta_update(*(\n"
         "    zoned_endpoint(n)._replace(weight=1 + n / 100) for n in range(200, 500))))\n"
         "print([node.serve(key) for key in range(1, 500)])\n"
     )
@@ -169,7 +169,7 @@
 def test_a_zone_that_lost_endpoints_gets_only_the_keys_that_it_has_capacity_for() -> None:
     """A zone with half of its endpoints, one of nine zones, is assigned 50 * 9 / 850 of the keys."""
     node = node_with_endpoints(900, zone=4)
-    node.tell(
+    node.handle(
         delta_update(*(zoned_endpoint(n)._replace(state=EndpointState.REMOVED) for n in range(4, 450, 9)))
     )
     is_own_zone_counts = Counter(
@@ -195,24 +195,26 @@
 ) -> None:
     """Requests are forwarded, and list updates and hash ratios by load reports continue to work."""
     node = Node(settings(zone=0, load_report_fields=("utilization",)), servers=0)
-    node.tell(
-        whole(*(server(n)._replace(weight=weights[n % len(weights)], hardware_type=n % 2) for n in range(24)))
+    node.handle(
+        snapshot(
+            *(server(n)._replace(weight=weights[n % len(weights)], hardware_type=n % 2) for n in range(24))
+        )
     )
     for hardware_type in node.balancer._hardware_types.by_type.values():
         hardware_type.hash_ratio = 0.1
     for repetition in range(3):
         for key in range(1, 200):
-            send = node.ask(0, key + 1000 * repetition)[-1]
+            send = node.request(0, key + 1000 * repetition)[-1]
             if isinstance(send, api.Forward):
-                node.end(send, AttemptResult.OK, report=(0.9,))
-        node.wait(SECOND)
+                node.finish_attempt(send, AttemptResult.OK, report=(0.9,))
+        node.wait(SECOND_NS)
     assert node.serve(5) is not None
 
 
 def test_the_last_of_two_entries_with_the_same_id_applies() -> None:
     """Guards against an endpoint that is ready twice if the list contains its id twice."""
     node = Node(settings(), servers=0)
-    node.tell(whole(server(1), server(2), server(2, EndpointState.DRAINING), server(3), server(3)))
+    node.handle(snapshot(server(1), server(2), server(2, EndpointState.DRAINING), server(3), server(3)))
     assert {node.serve(key) for key in range(1, 100)} == {server(1).id, server(3).id}
     assert len(node.balancer._endpoints.ready) == 2
 
@@ -222,10 +224,10 @@
     node = node_with_endpoints(40, zone=1)
     choices_before = [node.serve(key) for key in range(1, 300)]
     for kind in (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED):
-        node.tell(api.EndpointUpdate(kind, ()))
-        assert isinstance(node.ask(0, 1)[-1], api.Reject)
-        node.wait(SECOND)
-        node.tell(whole(*(zoned_endpoint(number) for number in range(40))))
+        node.handle(api.EndpointUpdate(kind, ()))
+        assert isinstance(node.request(0, 1)[-1], api.Reject)
+        node.wait(SECOND_NS)
+        node.handle(snapshot(*(zoned_endpoint(number) for number in range(40))))
         assert [node.serve(key) for key in range(1, 300)] == choices_before
 
 
--- a/tests/policy/test_periodic_update.py
+++ b/tests/policy/test_periodic_update.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 from test_candidates import count_bytecodes, delta_update, node_with_endpoints, zoned_endpoint
-from world import MS, SECOND, Game, Node, server, settings, whole
+from world import MS_NS, SECOND_NS, Node, RandomEvents, server, settings, snapshot
 
 from moleport.policy import Balancer
 from moleport.policy import interface as api
@@ -24,22 +24,24 @@
 
 def busy_fleet(count: int) -> Node:
     """Return a node that has received load reports and rejections from some of its endpoints."""
-    node = node_with_endpoints(count, load_report_fields=("utilization",), slow_start_duration_ns=SECOND)
-    node.tell(
+    node = node_with_endpoints(count, load_report_fields=("utilization",), slow_start_duration_ns=SECOND_NS)
+    node.handle(
         delta_update(*(zoned_endpoint(number)._replace(hardware_type=number % 2) for number in range(count)))
     )
     for key in range(1, 60):
-        forward = node.ask(0, key)[-1]
+        forward = node.request(0, key)[-1]
         assert isinstance(forward, api.Forward)
-        node.end(forward, AttemptResult.REJECTED if key % 9 == 0 else AttemptResult.OK, report=(0.9,))
-    node.tell(WINDOW_END)  # the first window after a list also processes the entries of the list
+        node.finish_attempt(
+            forward, AttemptResult.REJECTED if key % 9 == 0 else AttemptResult.OK, report=(0.9,)
+        )
+    node.handle(WINDOW_END)  # the first window after a list also processes the entries of the list
     return node
 
 
 def test_cost_of_a_window_end_does_not_grow_with_the_number_of_endpoints() -> None:
     """Guards against iterating over all endpoints at the end of a window."""
     nodes = [busy_fleet(count) for count in (300, 3000)]
-    cost_of_few, cost_of_many = (count_bytecodes(lambda node=node: node.tell(WINDOW_END)) for node in nodes)
+    cost_of_few, cost_of_many = (count_bytecodes(lambda node=node: node.handle(WINDOW_END)) for node in nodes)
     assert cost_of_many < 1.2 * cost_of_few + 300
 
 
@@ -50,8 +52,8 @@
         node = node_with_endpoints(3000)
         for key in range(1, count + 1):
             node.balancer._hot_keys.record(key)
-        node.tell(WINDOW_END)
-        costs.append(count_bytecodes(lambda node=node: node.tell(WINDOW_END)))
+        node.handle(WINDOW_END)
+        costs.append(count_bytecodes(lambda node=node: node.handle(WINDOW_END)))
     assert costs[1] < costs[0] + 300
 
 
@@ -91,33 +93,33 @@
     balancer = node.balancer
     balancer._outliers.eject(node.now, balancer._endpoints.ready[1], api.AttemptResult.ERROR)
     for state, count in ((EndpointState.DRAINING, 0), (EndpointState.READY, 1), (EndpointState.REMOVED, 0)):
-        node.tell(delta_update(server(1, state)))
+        node.handle(delta_update(server(1, state)))
         assert len(balancer._outliers.ejected) == count
 
 
 def test_rejection_rates_decay_while_an_endpoint_is_ready() -> None:
     node = Node(servers=1)
-    (forward,) = node.ask(0, 1)
+    (forward,) = node.request(0, 1)
     assert isinstance(forward, api.Forward)
-    node.end(forward, AttemptResult.REJECTED)
+    node.finish_attempt(forward, AttemptResult.REJECTED)
     status = node.balancer._endpoints.ready[0]
-    node.tell(WINDOW_END)
+    node.handle(WINDOW_END)
     assert status.rejection_rates[0] == pytest.approx(0.2 * 0.95)
-    node.tell(delta_update(server(0, EndpointState.DRAINING)))
-    node.tell(WINDOW_END)
+    node.handle(delta_update(server(0, EndpointState.DRAINING)))
+    node.handle(WINDOW_END)
     assert status.rejection_rates[0] == pytest.approx(0.2 * 0.95)
-    node.tell(delta_update(server(0)))
-    node.wait(70 * SECOND)
+    node.handle(delta_update(server(0)))
+    node.wait(70 * SECOND_NS)
     assert not node.balancer._rejection_rates._affected and not status.rejection_rates
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_incremental_counts_match_the_endpoints(seed: int) -> None:
-    node_settings = settings(load_report_fields=("utilization",), slow_start_duration_ns=SECOND)
+    node_settings = settings(load_report_fields=("utilization",), slow_start_duration_ns=SECOND_NS)
     balancer = Balancer(node_settings, seed)
-    game = Game(balancer, node_settings, Random(seed))
+    game = RandomEvents(balancer, node_settings, Random(seed))
     for _ in range(5):
-        game.play(steps=120)
+        game.run(steps=120)
         ready = [
             status
             for status in balancer._endpoints.by_id.values()
@@ -146,15 +148,17 @@
 
 
 def test_warm_weight_follows_changes_of_weight_and_start_time() -> None:
-    node = Node(settings(slow_start_duration_ns=SECOND), servers=0)
+    node = Node(settings(slow_start_duration_ns=SECOND_NS), servers=0)
     warming_endpoint = server(2, started=node.now)
-    node.tell(whole(server(0)._replace(weight=0.1), server(1)._replace(weight=0.2), warming_endpoint))
+    node.handle(snapshot(server(0)._replace(weight=0.1), server(1)._replace(weight=0.2), warming_endpoint))
     assert node.balancer._slow_start.update_warm_weight(node.now) * WEIGHT_UNITS == to_weight_units(
         0.1
     ) + to_weight_units(0.2)
-    node.tell(delta_update(server(0, started=node.now)._replace(weight=0.1), server(1)._replace(weight=4.0)))
+    node.handle(
+        delta_update(server(0, started=node.now)._replace(weight=0.1), server(1)._replace(weight=4.0))
+    )
     assert node.balancer._slow_start.update_warm_weight(node.now) == 4.0
-    node.now += SECOND + MS
+    node.now += SECOND_NS + MS_NS
     assert node.balancer._slow_start.update_warm_weight(node.now) == pytest.approx(5.1)
 
 
@@ -220,7 +224,7 @@
     random = Random(seed)
     classes = tuple(
         api.RequestClass(
-            random.choice((1, 2, 5)) * SECOND,
+            random.choice((1, 2, 5)) * SECOND_NS,
             random.choice((0.0, 1.0, 1.1, 1.3, 3.0)),
             0.0,
             api.Idempotency.IDEMPOTENT,
@@ -248,7 +252,7 @@
     """Guards against comparing all pairs of classes, as settings may contain hundreds of classes."""
     costs = []
     for count in (100, 800):
-        request_class = api.RequestClass(SECOND, 1.0, 0.0, api.Idempotency.IDEMPOTENT)
+        request_class = api.RequestClass(SECOND_NS, 1.0, 0.0, api.Idempotency.IDEMPOTENT)
         node = Node(settings(classes=(request_class,) * count), servers=6)
-        costs.append(count_bytecodes(lambda node=node: node.tell(WINDOW_END)))
+        costs.append(count_bytecodes(lambda node=node: node.handle(WINDOW_END)))
     assert costs[1] < 12 * costs[0]
--- a/tests/policy/test_rare_conditions.py
+++ b/tests/policy/test_rare_conditions.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import pytest
-from world import MS, SECOND, START, Node, settings
+from world import MS_NS, SECOND_NS, START_NS, Node, settings
 
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 from moleport.policy.hardware_types import MIN_REPORT_COUNT, HardwareTypes
 
-RESTARTED_AFTER_NS = SECOND
+RESTARTED_AFTER_NS = SECOND_NS
 
 
 def restart_first_endpoint(node: Node) -> api.Endpoint:
@@ -17,16 +17,16 @@
     node.now += RESTARTED_AFTER_NS
     status = node.balancer._endpoints.ready[0]
     endpoint = status.endpoint._replace(started_at_ns=node.now)
-    node.tell(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (endpoint,)))
+    node.handle(api.EndpointUpdate(api.EndpointUpdateKind.DELTA, (endpoint,)))
     return endpoint
 
 
 def test_a_restarted_endpoint_inherits_nothing_of_the_process_before() -> None:
     """A restart closes the connections of an endpoint and resets its load, so the node must reset both."""
     node = Node(settings(load_report_fields=("utilization",)), servers=1)
-    forward = node.ask()[-1]
+    forward = node.request()[-1]
     assert isinstance(forward, api.Forward)
-    node.end(forward, api.AttemptResult.OK, report=(0.9,))
+    node.finish_attempt(forward, api.AttemptResult.OK, report=(0.9,))
     status = node.balancer._endpoints.ready[0]
     status.rejection_rates[0] = 0.8
     restart_first_endpoint(node)
@@ -38,12 +38,12 @@
     node = Node(settings(max_attempts=1), servers=1)
     outliers = node.balancer._outliers
     status = node.balancer._endpoints.ready[0]
-    earlier = node.ask()[-1]
+    earlier = node.request()[-1]
     assert isinstance(earlier, api.Forward)
     outliers.eject(node.now, status, api.AttemptResult.ERROR)
     node.now = status.ejected_until_ns + 1
-    assert isinstance(node.ask()[-1], api.Forward)
-    node.end(earlier, api.AttemptResult.OK)
+    assert isinstance(node.request()[-1], api.Forward)
+    node.finish_attempt(earlier, api.AttemptResult.OK)
     assert status.is_on_trial
 
 
@@ -62,11 +62,11 @@
 def test_failing_polls_have_pauses_whatever_the_interval(interval_ns: int) -> None:
     node_settings = settings(discovery_mode=api.DiscoveryMode.POLL, poll_interval_ns=interval_ns)
     balancer = Balancer(node_settings, 1)
-    actions = balancer.start(START)
+    actions = balancer.start(START_NS)
     polls_at_ns: list[int] = []
     timers: list[api.SetTimer] = []
-    now_ns = START
-    while now_ns < START + SECOND and len(polls_at_ns) < 200:
+    now_ns = START_NS
+    while now_ns < START_NS + SECOND_NS and len(polls_at_ns) < 200:
         timers += [action for action in actions if isinstance(action, api.SetTimer)]
         if any(isinstance(action, api.WatchEndpoints) for action in actions):
             polls_at_ns.append(now_ns)
@@ -76,4 +76,4 @@
         timers.remove(timer)
         now_ns = max(now_ns, timer.at_ns)
         actions = balancer.handle(now_ns, api.TimerFired(timer.timer_id))
-    assert len(polls_at_ns) < SECOND // (5 * MS)
+    assert len(polls_at_ns) < SECOND_NS // (5 * MS_NS)
--- a/tests/policy/test_recorded_events.py
+++ b/tests/policy/test_recorded_events.py
@@ -18,22 +18,22 @@
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 
-MS = 1_000_000  # ns
-SECOND = 1_000 * MS
-START_NS = 50 * SECOND
+MS_NS = 1_000_000  # ns
+SECOND_NS = 1_000 * MS_NS
+START_NS = 50 * SECOND_NS
 REQUEST_COUNT = 6_000
-SERVICE_TIME_NS = 15 * MS
+SERVICE_TIME_NS = 15 * MS_NS
 WEIGHTS = (1.0, 1.0, 0.5, 2.75, 1.0, 1.0, 0.0, 1.0, 2.0**50, 1.0, 1.0, 1.0)
 
-IDEMPOTENT = api.RequestClass(200 * MS, 3.0, 0.0, api.Idempotency.IDEMPOTENT)
-LATE_VALUE = api.RequestClass(300 * MS, 1.0, 0.5, api.Idempotency.IDEMPOTENT)
-NOT_IDEMPOTENT_CLASS = api.RequestClass(500 * MS, 9.0, 0.0, api.Idempotency.NOT_IDEMPOTENT)
+IDEMPOTENT = api.RequestClass(200 * MS_NS, 3.0, 0.0, api.Idempotency.IDEMPOTENT)
+LATE_VALUE = api.RequestClass(300 * MS_NS, 1.0, 0.5, api.Idempotency.IDEMPOTENT)
+NOT_IDEMPOTENT_CLASS = api.RequestClass(500 * MS_NS, 9.0, 0.0, api.Idempotency.NOT_IDEMPOTENT)
 IDEMPOTENCY_KEY_CLASSES = tuple(
-    api.RequestClass(400 * MS, 5.0, 0.2, api.Idempotency.IDEMPOTENCY_KEY, group, 700 * MS)
+    api.RequestClass(400 * MS_NS, 5.0, 0.2, api.Idempotency.IDEMPOTENCY_KEY, group, 700 * MS_NS)
     for group in api.DeduplicationScope
 )
 ORDERED_CLASS = api.RequestClass(
-    600 * MS, 6.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.CELL, 900 * MS, True
+    600 * MS_NS, 6.0, 0.0, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.CELL, 900 * MS_NS, True
 )
 
 PLAIN_SETTINGS = api.Settings(
@@ -41,16 +41,16 @@
     tenants=(),
     node_count=3,
     discovery_mode=api.DiscoveryMode.PUSH,
-    poll_interval_ns=8 * SECOND,
+    poll_interval_ns=8 * SECOND_NS,
     slow_start_initial_ratio=0.2,
-    slow_start_duration_ns=6 * SECOND,
+    slow_start_duration_ns=6 * SECOND_NS,
     max_attempts=3,
-    max_retry_after_ns=SECOND,
+    max_retry_after_ns=SECOND_NS,
     sends_retry_after=True,
     weight_by_work=False,
     load_report_fields=(),
-    idle_timeout_ns=4 * SECOND,
-    key_cooldown_ns=300 * MS,
+    idle_timeout_ns=4 * SECOND_NS,
+    key_cooldown_ns=300 * MS_NS,
 )
 POLL_SETTINGS = replace(
     PLAIN_SETTINGS, discovery_mode=api.DiscoveryMode.POLL, node_count=40, zone=1, overload_multiple=3.0
@@ -94,11 +94,11 @@
         self._update_list(0, [self._endpoint(number) for number in range(self.endpoint_count)])
         for number in range(1, REQUEST_COUNT + 1):
             burst = 6.0 if number % 3_000 > 2_400 else 1.0
-            self._advance(int(self.random.expovariate(self.request_rate * burst) * SECOND))
+            self._advance(int(self.random.expovariate(self.request_rate * burst) * SECOND_NS))
             self._request(number)
             if number % 40 == 0:
                 self._change_conditions(number)
-        self._advance(3 * SECOND)
+        self._advance(3 * SECOND_NS)
         return self.digest.hexdigest()[:16]
 
     def _endpoint(self, number: int, started: int = 0, state: int = 0) -> api.Endpoint:
@@ -130,7 +130,7 @@
     def _request(self, number: int) -> None:
         randrange = self.random.randrange
         key = randrange(60) if randrange(3) else 7 if randrange(2) else 0
-        remaining_ns = (2 * SECOND, 900 * MS, 150 * MS, 2 * MS)[randrange(4)]
+        remaining_ns = (2 * SECOND_NS, 900 * MS_NS, 150 * MS_NS, 2 * MS_NS)[randrange(4)]
         index = randrange(len(self.settings.classes))
         request = api.Request(number, remaining_ns, index, randrange(4), key, randrange(6) == 0)
         self._handle(request, f"request {number} {remaining_ns} {index} {key}")
@@ -156,7 +156,7 @@
         if self.endpoints[endpoint_id].state is api.EndpointState.REMOVED:
             return api.AttemptResult.CONNECT_FAILED if self.random.randrange(2) else api.AttemptResult.RESET
         service_time_factor = self.service_time_factors.get(endpoint_id, 1.0)
-        if not service_time_factor or (elapsed_ns >= 200 * MS and self.random.randrange(2)):
+        if not service_time_factor or (elapsed_ns >= 200 * MS_NS and self.random.randrange(2)):
             return api.AttemptResult.TIMEOUT
         draw = self.random.randrange(60)
         failures = (
@@ -179,7 +179,7 @@
         chosen_number = randrange(self.endpoint_count)
         endpoint_id = chosen_number.to_bytes(8, "big")
         if change_kind == 0:
-            self._update_list(2, [self._endpoint(chosen_number, started=self.now_ns - randrange(SECOND))])
+            self._update_list(2, [self._endpoint(chosen_number, started=self.now_ns - randrange(SECOND_NS))])
         elif change_kind == 1:
             self._update_list(
                 2,
@@ -192,7 +192,10 @@
             numbers = self.random.sample(range(self.endpoint_count), self.endpoint_count - randrange(6))
             self._update_list(
                 1,
-                [self._endpoint(number, started=randrange(2) * (self.now_ns - SECOND)) for number in numbers],
+                [
+                    self._endpoint(number, started=randrange(2) * (self.now_ns - SECOND_NS))
+                    for number in numbers
+                ],
             )
         elif change_kind == 3:
             self.service_time_factors[endpoint_id] = (0.0, 0.2, 6.0)[randrange(3)]
@@ -209,7 +212,7 @@
         elif change_kind == 7:
             self._update_list(2, [self._endpoint(number) for number in range(self.endpoint_count)])
         elif change_kind == 8:
-            self._advance(randrange(4) * SECOND)
+            self._advance(randrange(4) * SECOND_NS)
         else:
             for number in range(self.endpoint_count // 3):
                 self.service_time_factors[number.to_bytes(8, "big")] = (0.0, 0.3)[randrange(2)]
@@ -258,7 +261,7 @@
             * self.random.gammavariate(2.0, 0.5)
         )
         if self.service_time_factors.get(endpoint_id, 1.0) == 0.0:
-            duration_ns = 100 * SECOND
+            duration_ns = 100 * SECOND_NS
         self.in_flight.append(
             (self.now_ns + min(timeout_ns, max(1, duration_ns)), request, attempt, endpoint_id, self.now_ns)
         )
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import seed as hypothesis_seed
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from world import BASE, MS, Game, RuleBrokenError, settings
+from world import BASE, MS_NS, RandomEvents, RuleBrokenError, settings
 
 from moleport.policy import Balancer
 from moleport.policy import interface as api
@@ -26,7 +26,7 @@
         "sends_retry_after": st.booleans(),
         "weight_by_work": st.booleans(),
         "node_count": st.sampled_from([1, 5, 200]),
-        "key_cooldown_ns": st.sampled_from([0, 50 * MS, 400 * MS]),
+        "key_cooldown_ns": st.sampled_from([0, 50 * MS_NS, 400 * MS_NS]),
         "max_attempts": st.sampled_from([1, 2, 4]),
         "load_report_fields": st.sampled_from([(), ("utilization",), ("completed_per_s", "utilization")]),
     }
@@ -36,10 +36,12 @@
 def classes(deduplication_scope: api.DeduplicationScope) -> tuple[api.RequestClass, ...]:
     """Return classes with each kind of idempotency, with and without ordering by key."""
     return (
-        api.RequestClass(300 * MS, 1.0, 0.0, api.Idempotency.IDEMPOTENT),
-        api.RequestClass(300 * MS, 5.0, 0.2, api.Idempotency.IDEMPOTENCY_KEY, deduplication_scope, 700 * MS),
-        api.RequestClass(200 * MS, 9.0, 0.0, api.Idempotency.NOT_IDEMPOTENT, ordered_by_key=True),
-        api.RequestClass(600 * MS, 2.0, 0.0, api.Idempotency.IDEMPOTENT, ordered_by_key=True),
+        api.RequestClass(300 * MS_NS, 1.0, 0.0, api.Idempotency.IDEMPOTENT),
+        api.RequestClass(
+            300 * MS_NS, 5.0, 0.2, api.Idempotency.IDEMPOTENCY_KEY, deduplication_scope, 700 * MS_NS
+        ),
+        api.RequestClass(200 * MS_NS, 9.0, 0.0, api.Idempotency.NOT_IDEMPOTENT, ordered_by_key=True),
+        api.RequestClass(600 * MS_NS, 2.0, 0.0, api.Idempotency.IDEMPOTENT, ordered_by_key=True),
     )
 
 
@@ -57,14 +59,14 @@
     changes: dict[str, object], deduplication_scope: api.DeduplicationScope, has_stream: bool, seed: int
 ) -> None:
     node_settings = settings(classes=classes(deduplication_scope), **changes)
-    Game(Balancer(node_settings, seed), node_settings, Random(seed), has_stream).play(steps=250)
+    RandomEvents(Balancer(node_settings, seed), node_settings, Random(seed), has_stream).run(steps=250)
 
 
 def test_the_rules_hold_for_a_single_node_with_two_endpoints_that_have_just_started() -> None:
     node_settings = settings(
         classes=classes(api.DeduplicationScope.ALL), max_attempts=1, sends_retry_after=False
     )
-    Game(Balancer(node_settings, 61932), node_settings, Random(61932)).play(steps=250)
+    RandomEvents(Balancer(node_settings, 61932), node_settings, Random(61932)).run(steps=250)
 
 
 SEQUENCE_COUNT = 3000
@@ -79,7 +81,7 @@
         "sends_retry_after": random.random() < 0.5,
         "weight_by_work": random.random() < 0.5,
         "node_count": random.choice([1, 5, 200]),
-        "key_cooldown_ns": random.choice([0, 50 * MS, 400 * MS]),
+        "key_cooldown_ns": random.choice([0, 50 * MS_NS, 400 * MS_NS]),
         "max_attempts": random.choice([1, 2, 4]),
         "load_report_fields": random.choice([(), ("utilization",), ("completed_per_s", "utilization")]),
     }
@@ -92,7 +94,7 @@
     deduplication_scope = random.choice(list(api.DeduplicationScope))
     has_stream = random.random() < 0.5
     node_settings = settings(classes=classes(deduplication_scope), **changes)
-    Game(Balancer(node_settings, seed), node_settings, Random(seed), has_stream).play(steps=250)
+    RandomEvents(Balancer(node_settings, seed), node_settings, Random(seed), has_stream).run(steps=250)
 
 
 @pytest.mark.parametrize("seed", [4523, 10831, 14343])
@@ -115,13 +117,13 @@
     """Return the first rule that the checker finds broken in generated sequences, or "none"."""
     for seed in range(game_count):
         try:
-            Game(Balancer(node_settings, seed), node_settings, Random(seed)).play(steps=250)
+            RandomEvents(Balancer(node_settings, seed), node_settings, Random(seed)).run(steps=250)
         except RuleBrokenError as error:
             return str(error).split(":")[0]
     return "none"
 
 
-SETTINGS = settings(classes=classes(api.DeduplicationScope.CELL), key_cooldown_ns=400 * MS)
+SETTINGS = settings(classes=classes(api.DeduplicationScope.CELL), key_cooldown_ns=400 * MS_NS)
 
 
 def test_checker_accepts_the_module() -> None:
@@ -187,9 +189,9 @@
 
 def test_key_queues_are_empty_once_all_requests_are_complete() -> None:
     balancer = Balancer(SETTINGS, 3)
-    game = Game(balancer, SETTINGS, Random(3))
-    game.play(steps=400)
-    game._pass(5_000 * MS)
+    game = RandomEvents(balancer, SETTINGS, Random(3))
+    game.run(steps=400)
+    game._advance_time(5_000 * MS_NS)
     assert (
         balancer._key_ordering._queues,
         balancer._active_requests,
@@ -198,8 +200,8 @@
 
 
 def test_decisions_are_deterministic() -> None:
-    games = [Game(Balancer(BASE, 5), BASE, Random(9)) for _ in range(2)]
+    games = [RandomEvents(Balancer(BASE, 5), BASE, Random(9)) for _ in range(2)]
     for game in games:
-        game.play(steps=300)
+        game.run(steps=300)
     assert games[0].log == games[1].log
     assert sum(len(actions) for _, actions in games[0].log) > 50
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -23,18 +23,18 @@
 from moleport.node.request import RESPONSE_TRANSIT_NS
 from moleport.policy import interface as api
 
-PATIENCE = 20.0  # timeout in seconds, which only a failing test reaches
+TEST_TIMEOUT_SECONDS = 20.0  # timeout in seconds, which only a failing test reaches
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
     """Run a test on the event loop that the node uses; raises TimeoutError."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(test, PATIENCE * 2))
+        runner.run(asyncio.wait_for(test, TEST_TIMEOUT_SECONDS * 2))
 
 
 async def until(condition: Callable[[], object]) -> None:
     """Poll until a condition is true; raises TimeoutError."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
         while not condition():
             await asyncio.sleep(0.002)
 
@@ -100,12 +100,12 @@
 """Handles a request that a server received, and writes the response."""
 
 
-async def serves(_: Message, writer: asyncio.StreamWriter) -> None:
+async def respond_ok(_: Message, writer: asyncio.StreamWriter) -> None:
     """Answer 200 to each request."""
     writer.write(answer())
 
 
-def says(data: bytes, close: bool = False, abort: bool = False) -> Script:
+def respond_with(data: bytes, close: bool = False, abort: bool = False) -> Script:
     """Return a script that sends the data, and then closes or resets the connection."""
 
     async def script(_: Message, writer: asyncio.StreamWriter) -> None:
@@ -126,14 +126,14 @@
     writer.transport.abort()
 
 
-async def silent(_: Message, __: asyncio.StreamWriter) -> None:
+async def never_respond(_: Message, __: asyncio.StreamWriter) -> None:
     """Send nothing."""
 
 
 class Server:
     """A server that handles each request with its script; it listens while the block is active."""
 
-    def __init__(self, name: str, script: Script = serves) -> None:
+    def __init__(self, name: str, script: Script = respond_ok) -> None:
         self.name = name
         self.script = script
         self.seen: list[Message] = []  # received requests
@@ -250,7 +250,9 @@
         self._writers.clear()
 
 
-def grade(name: str, semantics: str, deadline_ms: int = 10_000, aim_ms: int = 10_000) -> dict[str, Any]:
+def request_class(
+    name: str, semantics: str, deadline_ms: int = 10_000, aim_ms: int = 10_000
+) -> dict[str, Any]:
     """Return a request class as the configuration file writes it."""
     return {
         "Aim": aim_ms * 10**6,
@@ -268,7 +270,7 @@
 SETTINGS: dict[str, Any] = {
     "Contract": {"AskWithin": 10**10, "Cold": 10**9, "ColdShare": 0.5, "StopSendingWithin": 5 * 10**8},
     "Feedback": {"Fields": ["load_share", "depth"], "How": "answers"},
-    "Grades": [grade("page", "repeatable"), grade("order", "once")],
+    "Grades": [request_class("page", "repeatable"), request_class("order", "once")],
     "Kinds": ["box"],
     "Zones": ["room"],
     "Tenants": [],
@@ -302,18 +304,18 @@
 
 
 class Spy:
-    """Wraps a node's balancer and records its events; the function `instead` may replace its actions."""
+    """Wraps a node's balancer and records its events; `replace_actions` may replace its actions."""
 
     def __init__(self, node: Dispatcher) -> None:
         self.events: list[api.Event] = []
-        self.instead: Callable[[api.Event], list[api.Action] | None] = lambda event: None
+        self.replace_actions: Callable[[api.Event], list[api.Action] | None] = lambda event: None
         self._balancer = node._balancer
         node._balancer = self  # type: ignore[assignment]
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Record an event, and return the actions of `instead`, or of the balancer if that returns None."""
+        """Record an event; return the actions of `replace_actions`, or the balancer's if it returns None."""
         self.events.append(event)
-        actions = self.instead(event)
+        actions = self.replace_actions(event)
         return self._balancer.handle(now, event) if actions is None else actions
 
     def attempts_in_flight(self) -> int:
@@ -324,7 +326,7 @@
         """Return the recorded outcomes of attempts."""
         return [event for event in self.events if isinstance(event, api.AttemptOutcome)]
 
-    def lists(self, kind: api.EndpointUpdateKind) -> list[api.EndpointUpdate]:
+    def endpoint_updates(self, kind: api.EndpointUpdateKind) -> list[api.EndpointUpdate]:
         """Return the recorded endpoint list updates of a kind."""
         return [
             event for event in self.events if isinstance(event, api.EndpointUpdate) and event.kind is kind
@@ -375,7 +377,7 @@
         self.node._execute_action(api.WatchEndpoints())
 
 
-LEAVE = ("sending", "close", "reset")
+DISCONNECT_MODES = ("sending", "close", "reset")
 """The ways in which a client may disconnect: by a half close, a close or a reset."""
 request_numbers = count(1)
 
@@ -412,15 +414,15 @@
 
     async def read(self) -> Message:
         """Read a response."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             return await read_message(self.reader)
 
-    async def ask(self, data: bytes) -> Message:
+    async def exchange(self, data: bytes) -> Message:
         """Send a request and read its response."""
         self.writer.write(data)
         return await self.read()
 
-    def leave(self, how: str) -> None:
+    def disconnect(self, how: str) -> None:
         """Disconnect in one of the ways in LEAVE."""
         if how == "sending":
             self.writer.write_eof()
@@ -429,9 +431,9 @@
         else:
             reset(self.writer)
 
-    async def ended(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """Return the bytes that arrive until the node closes the connection; none if it resets it."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_SECONDS):
             try:
                 return await self.reader.read()
             except OSError:
--- a/tests/scale/test_scale_loopback.py
+++ b/tests/scale/test_scale_loopback.py
@@ -113,12 +113,12 @@
 
 
 def test_a_load_records_each_request_once_and_ends_without_responses() -> None:
-    async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def never_respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
         writer.close()
 
     async def test() -> None:
-        server = await asyncio.start_server(silent, "127.0.0.1", 0)
+        server = await asyncio.start_server(never_respond, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         plan = {"host": host, "port": port, "begin": monotonic(), "seconds": 0.2, "seed": 1, "rate": 100.0}
         sample = await Load(plan).run()
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,37 +12,37 @@
 from moleport.policy import Balancer
 from moleport.policy import interface as api
 
-SECOND = 1_000_000_000
-MS = SECOND // 1000
-START = 77 * SECOND
+SECOND_NS = 1_000_000_000
+MS_NS = SECOND_NS // 1000
+START_NS = 77 * SECOND_NS
 
-DEADLINE_NS = SECOND
+DEADLINE_NS = SECOND_NS
 
 # Limits that the checker applies; the balancer gets only the settings that it needs to keep them.
-DRAIN_GRACE_NS = 500 * MS
+DRAIN_GRACE_NS = 500 * MS_NS
 OVERLOAD_MULTIPLE = 3.0
-OVERLOAD_WINDOW_NS = 1500 * MS
+OVERLOAD_WINDOW_NS = 1500 * MS_NS
 
-SAFE = api.RequestClass(500 * MS, 1.0, 0.0, api.Idempotency.IDEMPOTENT)
+SAFE = api.RequestClass(500 * MS_NS, 1.0, 0.0, api.Idempotency.IDEMPOTENT)
 KEYED = api.RequestClass(
-    400 * MS, 5.0, 0.2, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.CELL, 700 * MS
+    400 * MS_NS, 5.0, 0.2, api.Idempotency.IDEMPOTENCY_KEY, api.DeduplicationScope.CELL, 700 * MS_NS
 )
-UNSAFE = api.RequestClass(300 * MS, 10.0, 0.0, api.Idempotency.NOT_IDEMPOTENT)
+UNSAFE = api.RequestClass(300 * MS_NS, 10.0, 0.0, api.Idempotency.NOT_IDEMPOTENT)
 
 BASE = api.Settings(
     classes=(SAFE, KEYED, UNSAFE),
     tenants=(),
     node_count=1,
     discovery_mode=api.DiscoveryMode.PUSH,
-    poll_interval_ns=10 * SECOND,
+    poll_interval_ns=10 * SECOND_NS,
     slow_start_initial_ratio=0.15,
-    slow_start_duration_ns=20 * SECOND,
+    slow_start_duration_ns=20 * SECOND_NS,
     max_attempts=4,
-    max_retry_after_ns=2 * SECOND,
+    max_retry_after_ns=2 * SECOND_NS,
     sends_retry_after=True,
     weight_by_work=False,
     load_report_fields=(),
-    idle_timeout_ns=15 * SECOND,
+    idle_timeout_ns=15 * SECOND_NS,
 )
 
 
@@ -56,7 +56,7 @@
     return api.Endpoint(number.to_bytes(6, "big"), number % 3, number // 3, state, 1.0, started)
 
 
-def whole(*servers: api.Endpoint) -> api.EndpointUpdate:
+def snapshot(*servers: api.Endpoint) -> api.EndpointUpdate:
     """Return a snapshot of endpoints."""
     return api.EndpointUpdate(api.EndpointUpdateKind.SNAPSHOT, servers)
 
@@ -71,18 +71,18 @@
         seed: int = 1,
         kind: api.EndpointUpdateKind = api.EndpointUpdateKind.SNAPSHOT,
     ) -> None:
-        self.now = START
+        self.now = START_NS
         self.balancer = Balancer(with_settings, seed)
         self.timers = self._timers(self.balancer.start(self.now))
         self.next_id = 1
         self.sent: dict[int, list[api.Forward]] = {}
-        self.tell(api.EndpointUpdate(kind, tuple(server(number) for number in range(servers))))
+        self.handle(api.EndpointUpdate(kind, tuple(server(number) for number in range(servers))))
 
     @staticmethod
     def _timers(actions: Sequence[api.Action]) -> list[api.SetTimer]:
         return [action for action in actions if isinstance(action, api.SetTimer)]
 
-    def tell(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         """Pass an event to the balancer, record its timers and attempts, and return its actions."""
         actions = self.balancer.handle(self.now, event)
         self.timers += self._timers(actions)
@@ -99,37 +99,37 @@
             timer = min(due)
             self.timers.remove(timer)
             self.now = max(self.now, timer.at_ns)
-            actions += self.tell(api.TimerFired(timer.timer_id))
+            actions += self.handle(api.TimerFired(timer.timer_id))
         self.now = end
         return actions
 
-    def ask(self, class_index: int = 0, key: int = 0, remaining_ns: int = SECOND) -> list[api.Action]:
+    def request(self, class_index: int = 0, key: int = 0, remaining_ns: int = SECOND_NS) -> list[api.Action]:
         """Pass a new request to the balancer, and return the actions."""
         self.next_id += 1
-        return self.tell(api.Request(self.next_id - 1, remaining_ns, class_index, 0, key, False))
+        return self.handle(api.Request(self.next_id - 1, remaining_ns, class_index, 0, key, False))
 
-    def end(
+    def finish_attempt(
         self,
         forward: api.Forward,
         result: api.AttemptResult,
-        elapsed: int = 10 * MS,
+        elapsed: int = 10 * MS_NS,
         report: tuple[float, ...] = (),
     ) -> list[api.Action]:
         """Report the outcome of the newest attempt of a request, and return the actions."""
         attempt = len(self.sent[forward.request_id]) - 1
         closed = result is api.AttemptResult.OK
-        return self.tell(
+        return self.handle(
             api.AttemptOutcome(
                 forward.request_id, closed, result, elapsed, forward.endpoint_id, attempt, report
             )
         )
 
-    def serve(self, key: int, elapsed: int = 10 * MS, class_index: int = 0) -> api.EndpointId | None:
+    def serve(self, key: int, elapsed: int = 10 * MS_NS, class_index: int = 0) -> api.EndpointId | None:
         """Pass a new request and answer it; return the endpoint that it was forwarded to, or None."""
-        action = self.ask(class_index, key)[-1]
+        action = self.request(class_index, key)[-1]
         if not isinstance(action, api.Forward):
             return None
-        self.end(action, api.AttemptResult.OK, elapsed)
+        self.finish_attempt(action, api.AttemptResult.OK, elapsed)
         return action.endpoint_id
 
 
@@ -160,7 +160,7 @@
         self.cooldown_until = 0  # of its key, if its class is ordered by key
 
 
-class Game:
+class RandomEvents:
     """A random legal sequence of events for one balancer, which checks every action against the rules.
 
     The rules are `lost`, `duplicate`, `drain`, `cold`, `order` and `malformed`; a broken one raises
@@ -172,7 +172,7 @@
     ) -> None:
         self.streams = streams
         self.balancer, self.rules, self.random = balancer, rules, random
-        self.now = START
+        self.now = START_NS
         self.timers: list[api.SetTimer] = []
         self.listed: dict[api.EndpointId, api.Endpoint] = {}
         self.not_ready_since: dict[api.EndpointId, int] = {}  # when the balancer was notified
@@ -186,10 +186,10 @@
 
     # Generation of events.
 
-    def play(self, steps: int) -> None:
+    def run(self, steps: int) -> None:
         """Pass random events to the balancer, and let all open requests reach their deadlines."""
         self._update_list(api.EndpointUpdateKind.CACHED)
-        possible_steps = [self._accept_request] * 6 + [self._finish_attempt] * 5 + [self._pass] * 3
+        possible_steps = [self._accept_request] * 6 + [self._finish_attempt] * 5 + [self._advance_time] * 3
         possible_steps += [self._change_list, self._disconnect_client, self._begin_stream]
         for _ in range(steps):
             self.random.choice(possible_steps)()
@@ -202,7 +202,7 @@
         random = self.random
         index = random.randrange(len(self.rules.classes))
         request_class = self.rules.classes[index]
-        remaining_ns = random.choice([DEADLINE_NS, DEADLINE_NS // 2, MS])
+        remaining_ns = random.choice([DEADLINE_NS, DEADLINE_NS // 2, MS_NS])
         request = api.Request(
             len(self.requests) + 1,
             remaining_ns,
@@ -282,9 +282,11 @@
             accepted.answered = True  # the balancer must ignore the event for a closed request
             self._handle(api.ClientDisconnected(accepted.request.id))
 
-    def _pass(self, span: int | None = None) -> None:
+    def _advance_time(self, span: int | None = None) -> None:
         """Advance the time by `span` or a random time, and deliver due timers and attempt timeouts."""
-        end = self.now + (self.random.choice([MS, 20 * MS, 300 * MS, 2 * SECOND]) if span is None else span)
+        end = self.now + (
+            self.random.choice([MS_NS, 20 * MS_NS, 300 * MS_NS, 2 * SECOND_NS]) if span is None else span
+        )
         while True:
             due = [(timer.at_ns, 0, timer.timer_id, 0) for timer in self.timers if timer.at_ns <= end]
             for accepted, index in self._attempts_in_flight():
@@ -314,7 +316,7 @@
         servers = []
         for number in range(random.choice([0, 1, 2, 9, 9])):
             state = random.choice([api.EndpointState.READY] * 5 + [api.EndpointState.DRAINING])
-            started = random.choice([0, 0, 0, self.now - SECOND, self.now])
+            started = random.choice([0, 0, 0, self.now - SECOND_NS, self.now])
             servers.append(server(number, state, started))
         if kind is api.EndpointUpdateKind.DELTA and servers:
             servers = random.sample(servers, 1)
@@ -353,7 +355,7 @@
         for accepted, index in self._attempts_in_flight():
             if accepted.streaming_attempt == index:
                 self._report_outcome(accepted, index, api.AttemptResult.OK)
-        self._pass(DEADLINE_NS + MS)
+        self._advance_time(DEADLINE_NS + MS_NS)
         for accepted in self.requests.values():
             if not accepted.answered:
                 raise RuleBrokenError(f"lost: request {accepted.request.id} was never answered")
