--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -7,10 +7,10 @@
 - `has_disconnected`: `AttemptSupervisor.authorize_write` asks the kernel before it opens a
   connection to a server and before it writes a request. Only the kernel knows of an end of stream that is
   behind unread data, or that a delayed event loop has not read yet.
-- `_check_while_paused`: while reading is paused, it polls the kernel every `PAUSED_CHECK_SECONDS`.
+- `_check_while_paused`: the connection polls the kernel every `PAUSED_CHECK_SECONDS` while reading is paused.
 
-It is reported to `RequestRegistry` by `on_client_disconnected` (the client gets no response) or by
-`on_client_half_closed` (the client may still read one).
+The disconnection is reported to `RequestRegistry` by `on_client_disconnected` (the client gets no response)
+or by `on_client_half_closed` (the client may still read a response).
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 from moleport.units import NS_PER_SECOND
 
 PAUSED_CHECK_SECONDS = 0.05
-MAX_WRITE_SECONDS = 10.0  # for a client to read a response to a request without a deadline
-MAX_LINGERING_BYTES = 128 << 10  # of data that is read and discarded after the last response
+MAX_WRITE_SECONDS = 10.0  # time limit for a client to read a response to a request without a deadline
+MAX_LINGERING_BYTES = 128 << 10  # limit of client data that is read and discarded after the last response
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -51,8 +51,8 @@
         self.dispatcher = dispatcher
         self.config = config
         self.table = table
-        self.is_stopping = False  # the readiness endpoint answers 503
-        self.is_draining = False  # each response closes its connection
+        self.is_stopping = False  # whether the shutdown has begun and readiness checks are answered with 503
+        self.is_draining = False  # whether each response closes its connection, as the node is shutting down
 
 
 class ClientConnection(asyncio.Protocol):
@@ -65,35 +65,40 @@
         """
         self._context = context
         self._table = context.table
-        # Lower bound (monotonic ns) of when data unread in the kernel arrived; 0: none is known.
+        # Lower bound (monotonic ns) of the arrival time of client data unread in the kernel; 0: no bound.
         self._earliest_unread_arrival_ns = earliest_arrival_ns
         self._peer_shutdown_poll = select.poll()
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = RequestParser(context.config)
-        self._request_number = 0  # of the request in progress, set by `RequestRegistry`; 0: none
-        self._is_busy = False  # a request is unanswered, or its response is not fully written
+        self._request_number = 0  # number of the request in progress, given by `RequestRegistry`; 0: none
+        self._is_busy = False  # whether a request is unanswered, or its response is not fully written
         self._keep_alive = True
-        self._is_closing = False  # after the last response or a lost connection: nothing more is parsed
-        self._is_half_closed = False  # the client has shut down its sending side
+        # Whether the last response was sent or the connection is lost; no more data of the client is parsed.
+        self._is_closing = False
+        self._is_half_closed = False  # whether the client has shut down its sending side
         self._discarded_bytes = 0
-        self._deadline_ns = 0  # monotonic, of the request in progress; 0: none
-        self._write_timer: asyncio.TimerHandle | None = None  # aborts if a response is not read in time
-        self._is_advancing = False  # _advance is running
+        # Deadline (monotonic ns) of the last request passed to `_serve`; 0: no deadline.
+        self._deadline_ns = 0
+        # Timer that aborts the connection if the client does not read a response in time.
+        self._write_timer: asyncio.TimerHandle | None = None
+        self._is_advancing = False  # whether `_advance` is running
         self._is_paused = False
         self._paused_check_timer: asyncio.TimerHandle | None = None
 
-    # Callbacks of the event loop.
+    # Callbacks by which the event loop reports data, writes and disconnections of the client.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection, and set the lower bound for the arrival of its unread data."""
-        self._transport = transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
-        transport.set_write_buffer_limits(high=0)  # resume_writing reports a full write
+        # The transports of uvloop are not subclasses of asyncio.Transport.
+        self._transport = transport = cast(asyncio.Transport, transport)
+        # With a write buffer limit of 0, the event loop calls `resume_writing` once the buffer is empty.
+        transport.set_write_buffer_limits(high=0)
         now = monotonic_ns()
         if now - self._earliest_unread_arrival_ns < MIN_HOLD_NS or not self._is_readable():
             self._earliest_unread_arrival_ns = 0
         else:
-            # The lower bound is that of the whole accept queue; this client may have connected much later.
+            # The earliest arrival in the accept queue may be much earlier than that of one client's data.
             data_age_ns = last_data_age_ns(transport.get_extra_info("socket"))
             if data_age_ns is not None:
                 self._earliest_unread_arrival_ns = max(self._earliest_unread_arrival_ns, now - data_age_ns)
@@ -151,7 +156,7 @@
             self._write_timer = None
             self._on_response_written()
 
-    # Disconnections that the event loop has not reported.
+    # Checks for a disconnection of the client that the event loop has not reported.
 
     def has_disconnected(self) -> bool:
         """Return whether the client has half-closed or closed the connection, as the kernel reports it."""
@@ -185,20 +190,20 @@
     def _is_readable(self) -> bool:
         return is_readable(self._descriptor())
 
-    # Requests, processed in order of arrival.
+    # Methods that process the client's requests in order of arrival.
 
     def _advance(self) -> None:
         """Process the parsed requests, pause or resume reading, and report the state to the table."""
         transport = self._transport
         if transport is None or self._is_advancing:
-            return  # after a response that was written at once, the loop in _serve_ready continues
+            return  # a running `_serve_ready` serves the next request after a response written at once
         self._is_advancing = True
         self._serve_ready(transport)
         self._is_advancing = False
         if self._is_closing or transport.is_closing():
             return
         parser = self._parser
-        # Nothing is read while requests are waiting: pipelined requests stay in the kernel's buffer.
+        # Reading is paused while received requests wait: further requests stay in the kernel's buffer.
         if self._is_paused != bool(parser.ready or parser.has_unparsed()):
             self._toggle_reading(transport)
         if self._is_busy:
@@ -222,7 +227,7 @@
                 self._table.mark_active(self)
                 self._serve(parser.ready.popleft())
             elif parser.error_status:
-                # The data behind the error can't be parsed; all requests before it have been answered.
+                # Data behind a parse error can't be parsed; all requests before the error have been answered.
                 self._is_busy = True
                 self._keep_alive = False
                 self.send_response(parser.error_status, [], b"")
@@ -230,7 +235,7 @@
                 break
 
     def _toggle_reading(self, transport: asyncio.Transport) -> None:
-        """Pause or resume reading."""
+        """Pause reading from the client, or resume reading that is paused."""
         self._is_paused = not self._is_paused
         if not self._is_paused:
             if not self._is_readable():
@@ -277,7 +282,7 @@
             deadline_ns=parsed.arrived_at_ns + parsed.timeout_ns,
         )
 
-    # Responses.
+    # Methods that write responses, and that continue or close the connection after each.
 
     def send_response(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """Write the final response of the request in progress."""
@@ -286,7 +291,7 @@
         self._request_number = 0
         if transport.is_closing():
             return
-        # Closed after a 4xx: a client that repeats an invalid request would do so as fast as it is answered.
+        # A 4xx closes the connection: a client could repeat an invalid request as fast as the node answers.
         is_client_error = 400 <= status < 500
         keep_alive = (
             self._keep_alive
@@ -341,7 +346,7 @@
         transport.write_eof()
         self._table.start_lingering_close(self)
 
-    # Closing on behalf of the connection table or the shutdown.
+    # Methods that close the connection on behalf of the connection table or the shutdown.
 
     def time_out(self) -> None:
         """Close a connection that has exceeded a time limit; answer 408 to a partial request."""
@@ -366,7 +371,7 @@
     def close_if_nothing_unread(self) -> bool:
         """Close the connection unless it has unread data, which may be a complete request.
 
-        Return whether it is closed.
+        Return whether the connection is closed.
         """
         if self._transport is not None and not self._transport.is_closing():
             if self._is_readable():
--- a/moleport/node/connection_table.py
+++ b/moleport/node/connection_table.py
@@ -10,20 +10,23 @@
 from moleport.telemetry import Event, Telemetry
 
 SWEEP_PERIOD_SECONDS = 0.2
-SWEEP_RETRY_SECONDS = 0.02  # delay of a sweep that is due just after a hold
-MAX_NEW_SECONDS = 2.0  # from the connection's setup to the first complete request
-MAX_READING_SECONDS = 2.0  # from the first to the last byte of a later request
-MAX_IDLE_SECONDS = 2.5  # between requests
-MIN_IDLE_SECONDS = 0.5  # before an idle connection may be closed to enforce MAX_IDLE_RATIO
-MAX_IDLE_RATIO = 0.15  # of all slots; limits connections idle for longer than MIN_IDLE_SECONDS
-MIN_RECLAIM_AGE_SECONDS = 0.1  # in its state, before a new or idle connection may be closed to free its slot
-MAX_LINGERING_SECONDS = 1.0  # of a lingering close
-MAX_LINGERING_RATIO = 0.1  # of all slots; beyond it the oldest lingering connection is aborted
-IDLE_PROTECTION_RATIO = 0.5  # of all slots; with more new connections than that no idle one is reclaimed
+SWEEP_RETRY_SECONDS = 0.02  # delay of a check of the time limits that is due just after a hold of the process
+MAX_NEW_SECONDS = 2.0  # time limit from a connection's setup to its first complete request
+MAX_READING_SECONDS = 2.0  # time limit for receiving a request after the first one of its connection
+MAX_IDLE_SECONDS = 2.5  # time limit of a connection between two requests
+MIN_IDLE_SECONDS = 0.5  # idle time before a connection may be closed to enforce MAX_IDLE_RATIO
+# Fraction of client slots above which the oldest idle connections are closed after MIN_IDLE_SECONDS.
+MAX_IDLE_RATIO = 0.15
+# Time that a connection must have been new or idle before it may be closed to free its slot.
+MIN_RECLAIM_AGE_SECONDS = 0.1
+MAX_LINGERING_SECONDS = 1.0  # time limit of a lingering close
+MAX_LINGERING_RATIO = 0.1  # fraction of client slots above which the oldest lingering connection is aborted
+# Fraction of client slots: while new connections use more, no idle connection is closed to free its slot.
+IDLE_PROTECTION_RATIO = 0.5
 
 
 class TrackedConnection(Protocol):
-    """The interface of a client connection that the table uses."""
+    """The interface of a client connection that the connection table uses."""
 
     def abort(self) -> None:
         """Close the connection at once and discard unwritten data."""
@@ -43,7 +46,7 @@
 
 
 EntryTimes = dict[TrackedConnection, float]
-"""The connections in one state, each with the loop time in s at which it entered it; oldest first."""
+"""The loop time, in s, at which each connection in one state entered the state; oldest first."""
 
 
 class ConnectionTable:
@@ -63,7 +66,7 @@
     ) -> None:
         """Create an empty table; `on_slot_freed` is called when a connection ends and leaves a free slot."""
         self.max_connections = max_connections
-        self.open_count = 0  # slots in use, including connections that are still being set up
+        self.open_count = 0  # client slots in use, with those of connections that are still being set up
         self.connections: set[TrackedConnection] = set()
         self._telemetry = telemetry
         self._hold_detector = hold_detector
@@ -92,7 +95,7 @@
         """Return whether no slot is free and no connection is lingering, new or idle."""
         return self.open_count >= self.max_connections and not (self._lingering or self._new or self._idle)
 
-    # State changes, reported by the connections.
+    # Methods by which client connections report changes of their state.
 
     def on_connected(self, connection: TrackedConnection) -> None:
         """Add a connection that has been set up."""
@@ -107,16 +110,16 @@
         self.release_slot()
 
     def mark_idle(self, connection: TrackedConnection) -> None:
-        """Mark a connection that has no request, complete or partial; a new one stays new."""
+        """Mark a connection that has no request, complete or partial; a new connection stays new."""
         if connection in self._new:
             return
         self._reading.pop(connection, None)
         self._reclaim_idle()
-        # Bytes that start no request do not restart the time limit.
+        # Bytes that start no request, such as blank lines, do not restart an idle connection's time limit.
         self._idle.setdefault(connection, self._loop.time())
 
     def mark_reading(self, connection: TrackedConnection) -> None:
-        """Mark a connection with a partial request; a new one stays new."""
+        """Mark a connection with a partial request; a new connection stays new."""
         self._idle.pop(connection, None)
         if connection not in self._new:
             self._reading.setdefault(connection, self._loop.time())
@@ -128,7 +131,7 @@
         self._reading.pop(connection, None)
 
     def start_lingering_close(self, connection: TrackedConnection) -> None:
-        """Mark a connection that waits for its client to close; abort the oldest of too many."""
+        """Mark a connection that waits for its client to close; abort the oldest above the limit."""
         self.mark_active(connection)
         self._lingering[connection] = self._loop.time()
         if len(self._lingering) > MAX_LINGERING_RATIO * self.max_connections:
@@ -136,15 +139,15 @@
             del self._lingering[oldest]
             oldest.abort()
 
-    # Connections that the node closes itself.
+    # Methods that close client connections: at a time limit, to free slots, or at the shutdown.
 
     def reclaim_slot(self, connecting_count: int) -> bool:
-        """Close one connection to free its slot; return whether one could be closed.
+        """Close one connection to free its slot; return whether a connection could be closed.
 
         Lingering connections are closed first, then new ones, then idle ones. While new connections, with the
-        `connecting_count` that are still being set up, exceed `IDLE_PROTECTION_RATIO`, no idle one is closed:
-        some of the new ones can be reclaimed `MIN_RECLAIM_AGE_SECONDS` after they connected. A client whose
-        request crosses with the close sends it again on another connection.
+        `connecting_count` that are still being set up, exceed `IDLE_PROTECTION_RATIO`, no idle connection is
+        closed: some of the new ones can be reclaimed `MIN_RECLAIM_AGE_SECONDS` after they connected. A client
+        whose request crosses with the close sends the request again on another connection.
         """
         if self._lingering:
             oldest = next(iter(self._lingering))
@@ -171,7 +174,7 @@
         return False
 
     def _reclaim_idle(self) -> None:
-        """Close the oldest idle connections while there are too many, to leave slots to other clients."""
+        """Close the oldest idle connections above `MAX_IDLE_RATIO`, to leave slots to other clients."""
         latest_entry = self._loop.time() - MIN_IDLE_SECONDS
         while len(self._idle) > MAX_IDLE_RATIO * self.max_connections:
             oldest, entered_at = next(iter(self._idle.items()))
@@ -181,13 +184,13 @@
             self._telemetry.count(Event.CLIENT_RECLAIMED)
 
     def start_sweeping(self) -> None:
-        """Start to check the time limits periodically."""
+        """Start to check the time limits of client connections periodically."""
         self._loop.call_later(SWEEP_PERIOD_SECONDS, self._sweep)
 
     def _sweep(self) -> None:
         """Close the connections that exceed the time limit of their state."""
         if self._hold_detector.is_settling():
-            # Data that the clients sent during the hold must be read first.
+            # The event loop must read data that clients sent during a hold before it applies the time limits.
             self._loop.call_later(SWEEP_RETRY_SECONDS, self._sweep)
             return
         now = self._loop.time()
@@ -206,7 +209,7 @@
         self._loop.call_later(SWEEP_PERIOD_SECONDS, self._sweep)
 
     def close_unused(self) -> None:
-        """Close the new and idle connections without unread data or a request."""
+        """Close the new and idle connections that have neither unread data nor a request."""
         for connection in [*self._new, *self._idle]:
             connection.close_if_unused()
 
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -19,9 +19,10 @@
 log = logging.getLogger(__name__)
 
 BACKLOG_CONNECTIONS = 1024
-ACCEPT_BATCH_CONNECTIONS = 16  # per loop iteration: a burst of connections must not delay other work for long
-FULL_TABLE_RETRY_SECONDS = 0.02  # delay before accepting again when no slot can be freed
-ACCEPT_BACKOFF_SECONDS = 0.002  # after the first failure; doubles with each failure in a row
+# Connections accepted per event loop iteration: a burst of connections must not delay other work for long.
+ACCEPT_BATCH_CONNECTIONS = 16
+FULL_TABLE_RETRY_SECONDS = 0.02  # delay before accepting connections again while no slot can be freed
+ACCEPT_BACKOFF_SECONDS = 0.002  # pause after the first failure of accept; doubles with each failure in a row
 MAX_ACCEPT_BACKOFF_SECONDS = 0.05
 MAX_ACCEPT_BACKOFF_DOUBLINGS = 5
 
@@ -46,7 +47,7 @@
         self._socket: socket.socket | None = None
         self._is_accepting = False
         self._is_retry_scheduled = False
-        # Lower bound (monotonic ns) of the time at which the queued clients connected; 0: none was queued.
+        # Lower bound (monotonic ns) of the connect times of clients in the accept queue; 0: queue empty.
         self._earliest_queued_arrival_ns = 0
         self._consecutive_accept_failures = 0
         self._setup_tasks: set[asyncio.Task[None]] = set()
@@ -105,7 +106,7 @@
             task.add_done_callback(self._setup_tasks.discard)
 
     def _schedule_retry(self) -> None:
-        """Schedule another accept: some connections in the full table may be reclaimable by then."""
+        """Schedule another accept while the table is full; a connection in it may be reclaimable by then."""
         if not self._is_retry_scheduled:
             self._is_retry_scheduled = True
             self._loop.call_later(FULL_TABLE_RETRY_SECONDS, self._on_retry_timer)
@@ -115,10 +116,13 @@
         self._resume_accepting()
 
     def _on_accept_failed(self, error: OSError) -> None:
-        """Stop accepting for a backoff time: the loop would spin, as the socket stays readable."""
+        """Stop accepting for a backoff time, or until a client slot is freed.
+
+        Without the pause the event loop would spin, as the listening socket stays readable.
+        """
         self._telemetry.count(Event.ACCEPT_FAILED, errno=error.errno)
         if fault_of(error) is Fault.DESCRIPTORS or error.errno in (errno.ENOBUFS, errno.ENOMEM):
-            # Without a freed descriptor the waiting clients would wait until another one disconnects.
+            # Without a freed descriptor, queued clients would wait until a connected client disconnects.
             self.table.reclaim_slot(len(self._setup_tasks))
         self._pause_accepting()
         doublings = min(self._consecutive_accept_failures, MAX_ACCEPT_BACKOFF_DOUBLINGS)
@@ -130,7 +134,7 @@
         """Create the client connection of an accepted socket."""
         try:
             client_socket.setblocking(False)
-            with suppress(OSError):  # a temporary lack of memory, or the client has disconnected
+            with suppress(OSError):  # setsockopt fails if memory is short or the client has disconnected
                 client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.connect_accepted_socket(
                 lambda: ClientConnection(self.context, earliest_arrival_ns), client_socket
@@ -140,7 +144,7 @@
             client_socket.close()
             self.table.release_slot()
 
-    # Methods for the shutdown, in the order in which graceful_shutdown calls them.
+    # Methods for the shutdown of the listener, in the order in which graceful_shutdown calls them.
 
     def has_waiting_clients(self) -> bool:
         """Return whether clients wait in the accept queue; closing the socket would reset them."""
