--- a/moleport/node/parsed_request.py
+++ b/moleport/node/parsed_request.py
@@ -7,7 +7,7 @@
 
 
 class ParsedRequest:
-    """One request; complete once the parser adds it to `RequestParser.ready`."""
+    """One client request, which is complete once the parser adds it to `RequestParser.ready`."""
 
     __slots__ = (
         "arrived_at_ns",
@@ -28,16 +28,16 @@
     def __init__(self) -> None:
         """Create a request of which nothing has been parsed."""
         self.target = self.path = self.method = b""
-        self.forwarded_headers: list[bytes] = []  # header lines to forward
-        self.header_values: dict[bytes, bytes] = {}  # values of all headers, by lower-case name
-        self.header_bytes = 0  # size of target, header lines and trailers
-        self.size_bytes = 0  # size of the head, then of the body with its framing
+        self.forwarded_headers: list[bytes] = []  # header lines that are forwarded to a server
+        self.header_values: dict[bytes, bytes] = {}  # last value of each request header, by lower-case name
+        self.header_bytes = 0  # size of the request target, header lines and trailers
+        self.size_bytes = 0  # received size of the request head, then of the body with its framing
         self.body = bytearray()
         self.keep_alive = True
         self.expects_continue = False
         self.class_index = 0
         self.timeout_ns = 0
-        self.arrived_at_ns = 0  # monotonic, lower bound for the last byte
+        self.arrived_at_ns = 0  # lower bound (monotonic ns) of the arrival of the request's last byte
 
     def forwarded_head(self) -> bytes:
         """Return the request line and headers for a server, without X-Deadline and the blank line."""
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -13,8 +13,8 @@
 from moleport.node.request_validation import InvalidRequestError, validate_framing, validate_request
 
 MAX_HEADERS_COUNT = 100
-MAX_FRAMED_BODY_BYTES = 8 * MAX_BODY_BYTES  # size limit of a body including its chunk framing
-PARSE_SLICE_BYTES = 4096  # parsed at a time, so that few of the pipelined requests are parsed ahead
+MAX_FRAMED_BODY_BYTES = 8 * MAX_BODY_BYTES  # size limit of a request body including its chunk framing
+PARSE_SLICE_BYTES = 4096  # data parsed at a time: with small slices few pipelined requests are parsed ahead
 
 NOT_FORWARDED = HOP_BY_HOP_HEADERS | {b"x-deadline", b"expect"}
 UNREPEATABLE_HEADERS = frozenset(
@@ -32,11 +32,11 @@
         b"idempotency-key",
     )
 )
-"""Headers that the node or a server acts on. If one occurred twice, each might use a different value."""
+"""Headers that a request must not repeat: the node and a server might act on different values."""
 
 
 class RequestParser:
-    """Parses requests up to the first invalid one; `error_status` is its status code, 0 before that."""
+    """Parses requests up to the first invalid one, whose response status is `error_status` (0 until then)."""
 
     def __init__(self, config: Config) -> None:
         """Create the parser of one connection, with the limits of `config`."""
@@ -45,7 +45,7 @@
         self._config = config
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._buffer = b""
-        self._arrived_at_ns = 0  # monotonic, lower bound for the first byte in the buffer
+        self._arrived_at_ns = 0  # lower bound (monotonic ns) of the arrival time of the data to be parsed
         self._partial: ParsedRequest | None = None
         self._in_body = False
 
@@ -56,10 +56,10 @@
         self.ready.clear()
 
     def feed(self, data: bytes, arrived_at_ns: int) -> None:
-        """Parse data of which no byte arrived before `arrived_at_ns` (monotonic).
+        """Parse data of which no byte arrived before `arrived_at_ns` (monotonic ns).
 
-        A request's arrival time is that of its last byte. Data received behind unparsed data gets
-        the arrival time of that data: a later one would extend the client's deadline.
+        A request's arrival time is that of its last byte. Data received behind unparsed data gets the arrival
+        time of the unparsed data: a later arrival time would extend the client's deadline.
         """
         if not self._buffer:
             self._arrived_at_ns = arrived_at_ns
@@ -93,7 +93,7 @@
             self._buffer, self._partial = b"", None
 
     def _check_size(self, partial: ParsedRequest, added_bytes: int) -> None:
-        """Limit the size of a partial request; httptools reports a line only once it is complete."""
+        """Limit the size of a partial request; httptools reports a header line only once it is complete."""
         partial.size_bytes += added_bytes
         if self._in_body and partial.size_bytes > MAX_FRAMED_BODY_BYTES:
             self.error_status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -116,10 +116,10 @@
         partial.expects_continue = False
         return True
 
-    # Callbacks of httptools.
+    # Callbacks by which the httptools parser reports the parts of a request.
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Start a request of which nothing has been parsed."""
         self._partial = ParsedRequest()
         self._in_body = False
 
@@ -133,21 +133,22 @@
         """Add a header; raise InvalidRequestError if it must not be repeated or the head is too large."""
         partial = self._partial
         assert partial is not None
-        # Checked here too: _check_size does not count the slice in which the head becomes complete.
+        # The size of the head is also checked here: `_check_size` omits the data slice that completes a head.
         partial.header_bytes += len(name) + len(value) + HEADER_LINE_BYTES
         if partial.header_bytes > MAX_HEAD_BYTES:
             raise InvalidRequestError(
-                HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"request head of over {MAX_HEAD_BYTES} bytes"
+                HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"request head exceeds {MAX_HEAD_BYTES} bytes"
             )
         if self._in_body:
-            return  # a trailer: counted, but not forwarded
+            return  # a trailer counts towards the size limit of the head, but is not forwarded
         lower_name, value = name.lower(), value.strip()
         if lower_name in UNREPEATABLE_HEADERS and lower_name in partial.header_values:
-            raise InvalidRequestError(HTTPStatus.BAD_REQUEST, f"header {name!r} is repeated")
+            raise InvalidRequestError(HTTPStatus.BAD_REQUEST, f"request header {name!r} is repeated")
         partial.header_values[lower_name] = value
         if len(partial.forwarded_headers) >= MAX_HEADERS_COUNT:
             raise InvalidRequestError(
-                HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"more than {MAX_HEADERS_COUNT} headers"
+                HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
+                f"request has more than {MAX_HEADERS_COUNT} headers",
             )
         if lower_name not in NOT_FORWARDED:
             partial.forwarded_headers.append(b"%s: %s\r\n" % (name, value))
@@ -170,7 +171,7 @@
         partial.body += data
         if len(partial.body) > MAX_BODY_BYTES:
             raise InvalidRequestError(
-                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body of over {MAX_BODY_BYTES} bytes"
+                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"request body exceeds {MAX_BODY_BYTES} bytes"
             )
 
     def on_message_complete(self) -> None:
--- a/moleport/node/request_validation.py
+++ b/moleport/node/request_validation.py
@@ -17,23 +17,25 @@
 
 
 class InvalidRequestError(Exception):
-    """A request is invalid; nothing that follows it on its connection is processed either."""
+    """Raised for an invalid request; data that follows it on its connection is not processed either."""
 
     def __init__(self, status: HTTPStatus, message: str) -> None:
-        """Create an error that is answered with `status`; `message` names the invalid value."""
+        """Create the error of a request that is answered with `status`; `message` names the invalid value."""
         super().__init__(message)
         self.status = status
 
 
 def validate_framing(request: ParsedRequest) -> None:
-    """Validate Content-Length and Transfer-Encoding of a complete head.
+    """Validate Content-Length and Transfer-Encoding of a request whose head is complete.
 
-    The parser has already rejected contradictory framing. Raises InvalidRequestError.
+    The httptools parser has already rejected contradictory framing. Raises InvalidRequestError.
     """
-    length = int(request.header_values.get(b"content-length", b"0"))  # the parser accepts only digits
+    # httptools accepts only digits in Content-Length.
+    length = int(request.header_values.get(b"content-length", b"0"))
     if length > MAX_BODY_BYTES:
         raise InvalidRequestError(
-            HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body of {length} bytes exceeds {MAX_BODY_BYTES} bytes"
+            HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+            f"request body of {length} bytes exceeds {MAX_BODY_BYTES} bytes",
         )
     coding = request.header_values.get(b"transfer-encoding")
     if coding is not None and coding.lower() != b"chunked":
@@ -43,7 +45,7 @@
 
 
 def validate_request(request: ParsedRequest, config: Config) -> None:
-    """Validate path, method, class, id and deadline of a complete head.
+    """Validate path, method, class, id and deadline of a request whose head is complete.
 
     Sets `path`, `class_index` and `timeout_ns` of the request. Raises InvalidRequestError.
     """
@@ -51,30 +53,35 @@
     if request.path == READINESS_PATH:
         return
     if request.path != API_PATH:
-        raise InvalidRequestError(HTTPStatus.NOT_FOUND, f"unknown path {request.path!r}")
+        raise InvalidRequestError(HTTPStatus.NOT_FOUND, f"unknown request path {request.path!r}")
     if request.method not in (b"GET", b"POST"):
-        raise InvalidRequestError(HTTPStatus.METHOD_NOT_ALLOWED, f"method {request.method!r} is not allowed")
+        raise InvalidRequestError(
+            HTTPStatus.METHOD_NOT_ALLOWED, f"request method {request.method!r} is not allowed"
+        )
     header_values = request.header_values
     class_index = config.class_indices.get(header_values.get(b"x-class", b""))
     if class_index is None:
-        raise InvalidRequestError(HTTPStatus.BAD_REQUEST, f"unknown class {header_values.get(b'x-class')!r}")
+        raise InvalidRequestError(
+            HTTPStatus.BAD_REQUEST, f"unknown X-Class {header_values.get(b'x-class')!r}"
+        )
     if REQUEST_ID_FORMAT.fullmatch(header_values.get(b"x-request-id", b"")) is None:
         raise InvalidRequestError(
-            HTTPStatus.BAD_REQUEST, f"invalid request id {header_values.get(b'x-request-id')!r}"
+            HTTPStatus.BAD_REQUEST, f"invalid X-Request-Id {header_values.get(b'x-request-id')!r}"
         )
     idempotency = config.policy_settings.classes[class_index].idempotency
     # Servers infer the idempotency of a request from its method, so the method must match the class.
     if (request.method == b"GET") is not (idempotency is Idempotency.IDEMPOTENT):
         raise InvalidRequestError(
             HTTPStatus.BAD_REQUEST,
-            f"method {request.method!r} for a class whose idempotency is {idempotency.name}",
+            f"method {request.method!r} does not match a class whose idempotency is {idempotency.name}",
         )
     if idempotency is Idempotency.IDEMPOTENCY_KEY and not header_values.get(b"idempotency-key"):
-        raise InvalidRequestError(HTTPStatus.BAD_REQUEST, "no idempotency key for a class that requires it")
+        raise InvalidRequestError(HTTPStatus.BAD_REQUEST, "no Idempotency-Key for a class that requires one")
     request.class_index = class_index
     request.timeout_ns = config.max_deadlines_ns[class_index]
     if b"x-deadline" in header_values:
-        # Capped: no client waits longer than its class allows, and a request uses memory until its deadline.
+        # The deadline is capped: no client waits longer than the maximum deadline of its request class, and a
+        # request uses memory until its deadline.
         request.timeout_ns = min(request.timeout_ns, parse_deadline_ns(header_values[b"x-deadline"]))
 
 
@@ -85,5 +92,5 @@
     """
     match = DEADLINE_FORMAT.fullmatch(text)
     if match is None:
-        raise InvalidRequestError(HTTPStatus.BAD_REQUEST, f"invalid deadline {text!r}")
+        raise InvalidRequestError(HTTPStatus.BAD_REQUEST, f"invalid X-Deadline {text!r}")
     return int(float(match[1]) * NS_PER_DEADLINE_UNIT[match[2]])
