--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -33,7 +33,7 @@
 
 
 class Dispatcher:
-    """Owns the policy, which gets an event only once all actions on the previous event are executed."""
+    """Owns the policy, which gets an event only once all actions for the previous event are executed."""
 
     def __init__(self, config: Config, pools: ConnectionPools) -> None:
         """Create the policy and the components that it acts on; needs a running event loop."""
@@ -43,7 +43,8 @@
         self._notices = self._balancer.notices
         self._events: deque[api.Event] = deque()
         self._is_dispatching = False
-        self._ready_endpoint_ids = pools.endpoint_ids()  # a live view of the endpoint ids
+        # Live view of the ids of all endpoints that have a connection pool.
+        self._ready_endpoint_ids = pools.endpoint_ids()
         dispatch_event = self._dispatch_event
         self.telemetry = Telemetry()
         self.hold_detector = HoldDetector(self.telemetry)
@@ -56,7 +57,7 @@
         self._consistency_check = ConsistencyCheck(
             self.requests.active, self.attempts_in_flight_by_policy, self.hold_detector, self.telemetry
         )
-        # Bound once to avoid attribute look-ups per request.
+        # Methods that are called for each request are bound once to avoid attribute look-ups.
         self._start_attempt = attempts.start_attempt
         self._set_timer = self._timers.set
         self.accept_request = self.requests.accept_request
@@ -83,12 +84,12 @@
             log.warning(
                 "only the discovery address of the new configuration is applied; other changes need a restart"
             )
-        log.info("discovery address is %s:%d", *config.discovery_address)
+        log.info("discovery address of the new configuration is %s:%d", *config.discovery_address)
         self._config = with_new_address
         self.endpoint_list.discovery.move(config.discovery_address)
 
     async def wait_until_endpoints_known(self) -> None:
-        """Wait until discovery has sent its endpoints or failed, or until a timeout."""
+        """Wait until discovery has sent its endpoint list, the watch has failed or a timeout has passed."""
         await self.endpoint_list.wait_until_synced()
 
     def fail_all_requests(self) -> None:
@@ -137,15 +138,16 @@
         )
 
     def _handle(self, event: api.Event) -> list[api.Action]:
-        """Return the policy's actions on an event, or none if it raises an exception.
+        """Return the policy's actions for an event, or none if the policy raises an exception.
 
-        After an exception a timer is set again, the request of a request or attempt event is answered with
-        502, and after one on an endpoint update the full endpoint list is dispatched later.
+        If the policy raises an exception on a timer event, the timer is set again. On the event of a request
+        or an attempt, the request is answered with 502. On an endpoint update, the full endpoint list is
+        dispatched later.
         """
         try:
             return self._balancer.handle(monotonic_ns(), event)
         except Exception:
-            log.exception("the policy failed on %.1000r", event)
+            log.exception("the policy failed on event %.1000r", event)
         self.telemetry.count(Event.POLICY_FAILED, event_type=type(event).__name__)
         if isinstance(event, api.TimerFired):
             self._timers.set_after_failure(event.timer_id)
--- a/moleport/node/graceful_shutdown.py
+++ b/moleport/node/graceful_shutdown.py
@@ -5,7 +5,7 @@
 2. Each response closes its connection, and the clients in the kernel's accept queue are accepted.
 3. The listening socket is closed.
 4. The requests in flight are completed, and unused connections are closed.
-5. `finish_within_s` after the call of `shut_down`, the requests that are still unanswered are failed.
+5. `finish_within_s` after the call of `shut_down`, the requests that are still unanswered get a 504.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from moleport.node.listener import ACCEPT_BATCH_CONNECTIONS, BACKLOG_CONNECTIONS, Listener
 from moleport.units import NS_PER_SECOND
 
-MIN_SERVE_ON_SECONDS = 0.6  # new connections continue to arrive for up to 0.4 s
-MAX_DEADLINE_SECONDS = 3.0  # the longest deadline that the platform waits for before SIGKILL
-KILL_DELAY_SECONDS = 0.7  # minimum time from the longest deadline's end to SIGKILL
-KILL_MARGIN_SECONDS = 0.3  # safety margin before SIGKILL
+MIN_SERVE_ON_SECONDS = 0.6  # new connections continue to arrive for up to 0.4 s after SIGTERM
+MAX_DEADLINE_SECONDS = 3.0  # longest request deadline that the platform waits for before it sends SIGKILL
+KILL_DELAY_SECONDS = 0.7  # minimum time from the end of the longest request deadline to SIGKILL
+KILL_MARGIN_SECONDS = 0.3  # safety margin between the 504 for unanswered requests and SIGKILL
 DRAIN_CHECK_PERIOD_SECONDS = 0.02
 
 
 class ShutdownPlan(NamedTuple):
-    """The times of a shutdown, in s after the call of `shut_down`."""
+    """The times of the steps of a shutdown, in s after the call of `shut_down`."""
 
     serve_on_s: float
-    """The end of the time in which requests are accepted as before."""
+    """The time until which requests are accepted as before the shutdown."""
     finish_within_s: float
-    """The time at which the requests that are still unanswered are failed."""
+    """The time at which the requests that are still unanswered get a 504."""
 
 
 def plan_shutdown(config: Config) -> ShutdownPlan:
@@ -69,7 +69,8 @@
     await listener.wait_until_set_up()
 
     while listener.table.connections and loop.time() < end_time:
-        await asyncio.sleep(DRAIN_CHECK_PERIOD_SECONDS)  # lets the loop read new data first
+        # The event loop reads new data of clients before unused connections are closed.
+        await asyncio.sleep(DRAIN_CHECK_PERIOD_SECONDS)
         listener.table.close_unused()
 
     dispatcher.fail_all_requests()
@@ -77,7 +78,10 @@
 
 
 async def _accept_waiting_clients(listener: Listener, end_time: float) -> None:
-    """Accept all queued clients; while the table is full, wait for slots until `end_time` (loop time)."""
+    """Accept all clients in the accept queue.
+
+    While the connection table is full, wait for free slots until `end_time` (loop time in s).
+    """
     loop = asyncio.get_running_loop()
     for _ in range(BACKLOG_CONNECTIONS // ACCEPT_BATCH_CONNECTIONS):
         listener.accept_batch()
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -27,13 +27,13 @@
 RESPONSE_TRANSIT_NS = 5 * NS_PER_MS
 """Attempts, and the time that the policy is given, end this long before the client's deadline.
 
-The final response then reaches the client in time."""
+The final response to an attempt's end or a decision of the policy then reaches the client in time."""
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class ClientHandle(Protocol):
-    """The connection that a request arrived on; receives its single final response."""
+    """The client connection that a request arrived on and that its single final response is sent on."""
 
     def has_disconnected(self) -> bool:
         """Return whether the kernel has received the client's end of stream, even if it is unread."""
@@ -53,14 +53,14 @@
     """A valid request, which its client connection builds from the parsed request."""
 
     client: ClientHandle
-    request_id: bytes  # set by the client, unique per request
-    head: bytes  # request line and headers for a server, without X-Deadline and the blank line
+    request_id: bytes  # X-Request-Id header; the client sets a unique id for each request
+    head: bytes  # request line and headers sent to a server, without X-Deadline and the blank line
     body: bytes
     class_index: int
     tenant_index: int
-    key: int  # hash of the X-Key header; 0: none
+    key: int  # hash of the X-Key header; 0: no key
     is_client_retry: bool
-    deadline_ns: int  # monotonic ns
+    deadline_ns: int  # time until which the client waits for the response, in monotonic ns
 
 
 @dataclass(slots=True, eq=False)
@@ -71,10 +71,13 @@
     client_request: ClientRequest
     deadline_timer: asyncio.TimerHandle | None = None
     is_answered: bool = False
-    client_left_at_ns: int = 0  # monotonic ns at which its half-close was detected; 0: not detected
-    first_execution_ns: int = 0  # monotonic ns of the write of the first attempt that may have run; 0: none
-    attempt_count: int = 0  # attempts started so far
-    attempts: dict[int, Attempt] = field(default_factory=dict)  # in flight, by attempt index
+    # Time (monotonic ns) at which the client's half-close was detected; 0: not detected.
+    client_left_at_ns: int = 0
+    # Time (monotonic ns) of the write of the first attempt that a server may have executed; 0: none yet.
+    first_execution_ns: int = 0
+    attempt_count: int = 0  # attempts of the request so far, including those that could not be started
+    # Attempts of the request that are in flight, by attempt index.
+    attempts: dict[int, Attempt] = field(default_factory=dict)
 
 
 def retry_after_headers(delay_ns: int) -> Headers:
@@ -88,17 +91,18 @@
     def __init__(
         self, config: Config, telemetry: Telemetry, dispatch_event: Callable[[api.Event], None]
     ) -> None:
-        """Report requests and disconnections to the policy through `dispatch_event`."""
+        """Create a registry that reports requests and disconnections through `dispatch_event`."""
         self._config = config
         self._telemetry = telemetry
         self._dispatch_event = dispatch_event
         self._loop = asyncio.get_running_loop()
-        self._request_ids: set[bytes] = set()  # of the active requests
+        self._request_ids: set[bytes] = set()  # X-Request-Id of each active request
         self._last_request_number = 0
         self._is_shutting_down = False
-        self.active: dict[int, PendingRequest] = {}  # by request number
+        # Requests that are unanswered or have attempts in flight, by request number.
+        self.active: dict[int, PendingRequest] = {}
 
-    # Acceptance.
+    # Methods that accept or reject new requests.
 
     def accept_request(self, client_request: ClientRequest) -> int:
         """Pass a client's request to the policy, or reject it at once.
@@ -116,7 +120,7 @@
             self._telemetry.count(Event.REQUEST_EXPIRED_ON_ARRIVAL, request=request.request_number)
             self._send(request, 504, [])
         elif client_request.request_id in self._request_ids:
-            # Servers would treat it as a retry of the active request with the same id.
+            # Servers would treat a request with the id of an active request as a retry of the active request.
             self._telemetry.count(Event.REQUEST_DUPLICATE_ID, request=request.request_number)
             self._send(request, 409, [])
         elif self._is_shutting_down or len(self.active) >= self._config.max_requests:
@@ -150,7 +154,7 @@
         settings = self._config.policy_settings
         return retry_after_headers(settings.max_retry_after_ns if settings.sends_retry_after else 0)
 
-    # Decisions of the policy.
+    # Methods that answer a request as the policy decides, or after the policy raised an exception.
 
     def reject(self, action: api.Reject) -> None:
         """Answer 503, which states that the request was not executed."""
@@ -173,7 +177,7 @@
         if request is not None:
             self._fail(request, 502)
 
-    # Disconnections of clients.
+    # Methods that handle disconnections of clients.
 
     def on_client_disconnected(self, request_number: int) -> None:
         """End an unanswered request whose client has closed or reset its connection."""
@@ -184,7 +188,7 @@
         self._end_early(request)
 
     def on_client_half_closed(self, request_number: int) -> None:
-        """Cancel the attempts of a half-closed client that are not fully written.
+        """Cancel the attempts for a half-closed client that are not fully written to a server.
 
         A closed connection cannot be told from a half-closed one at first. Attempts that are fully written
         continue, as the client may still wait for their response.
@@ -198,7 +202,7 @@
         for attempt in list(request.attempts.values()):
             attempt.give_up_unwritten()
 
-    # Final responses and the end of requests.
+    # Methods that send final responses and end requests.
 
     def fail_all(self) -> None:
         """Answer 504 to all unanswered requests and reject new ones, as the process is about to exit."""
@@ -233,10 +237,10 @@
             self._mark_answered(request)
 
     def _send(self, request: PendingRequest, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Pass a final response to the client connection; abort the connection if that raises an exception.
+        """Pass a final response to the client connection; abort the connection if sending fails.
 
-        The request and its attempts then end as if the response had been sent. If they stayed active, they
-        would count as in flight for good.
+        After such a failure the request and its attempts end as if the response had been sent. If they stayed
+        active, they would count as in flight for good.
         """
         client = request.client_request.client
         try:
@@ -247,7 +251,10 @@
                 Event.RESPONSE_FAILED, request=request.request_number, id=request_id, status=status
             )
             log.exception(
-                "could not send response %d to request %d (id %r)", status, request.request_number, request_id
+                "could not send response with status %d to request %d (id %r)",
+                status,
+                request.request_number,
+                request_id,
             )
             client.abort()
 
