--- a/moleport/node/name_hashing.py
+++ b/moleport/node/name_hashing.py
@@ -1,4 +1,4 @@
-"""Hashes of names and keys that are the same on every node and in every run."""
+"""Hash functions for endpoint ids and request keys, with the same results on every node and in every run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def hash_name(name: str | bytes) -> bytes:
-    """Return the eight-byte BLAKE2b digest by which the policy identifies a name."""
+    """Return the eight-byte BLAKE2b digest of a name; the policy identifies endpoints by this digest."""
     data = name if isinstance(name, bytes) else name.encode()
     return blake2b(data, digest_size=NAME_HASH_BYTES).digest()
 
--- a/moleport/node/node_factory.py
+++ b/moleport/node/node_factory.py
@@ -7,9 +7,10 @@
 from moleport.node.dispatcher import Dispatcher
 from moleport.node.listener import Listener
 
-# File descriptors of the interpreter, event loop, listening socket and discovery connection, and a margin.
+# File descriptors reserved for interpreter, event loop, listening socket and discovery, with a margin.
 RESERVED_DESCRIPTORS_COUNT = 40
-CLIENT_DESCRIPTORS_RATIO = 0.55  # of the remaining descriptors; the others are for connections to servers
+# Fraction of the unreserved file descriptors for clients; the others are for connections to servers.
+CLIENT_DESCRIPTORS_RATIO = 0.55
 
 
 def max_client_connections(max_descriptors: int) -> int:
--- a/moleport/node/policy_timers.py
+++ b/moleport/node/policy_timers.py
@@ -16,20 +16,20 @@
     """Dispatches a `TimerFired` event for each timer that the policy has set, never before its due time."""
 
     def __init__(self, dispatch_event: Callable[[api.Event], None]) -> None:
-        """Schedule on the running event loop, and pass events to the policy through `dispatch_event`."""
+        """Use the running event loop, and pass timer events to the policy through `dispatch_event`."""
         self._loop = asyncio.get_running_loop()
         self._dispatch_event = dispatch_event
 
     def set(self, at_ns: int, timer_id: int) -> None:
-        """Schedule a timer for `at_ns` (monotonic)."""
-        # Rounded up: the loop has a resolution of 1 ms, and may call back early by less than that.
+        """Schedule a timer of the policy for `at_ns` (monotonic ns)."""
+        # The delay is rounded up: event loop timers have a resolution of 1 ms and may fire early by less.
         delay_ms = max(0, at_ns - monotonic_ns()) // NS_PER_MS + 1
         self._loop.call_later(delay_ms / 1000, self._on_timer, at_ns, timer_id)
 
     def set_after_failure(self, timer_id: int) -> None:
-        """Set a timer again after the policy raised an exception on its event.
+        """Set a timer again after the policy raised an exception on the timer's event.
 
-        The policy sets a periodic timer again when it fires, so an exception would otherwise end the period.
+        The policy sets a periodic timer again when the timer fires, so an exception would otherwise stop it.
         """
         self.set(monotonic_ns() + RETRY_AFTER_FAILURE_NS, timer_id)
 
