--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -42,7 +42,7 @@
 
 
 class ClientContext:
-    """The dispatcher, configuration, table and shutdown state that all client connections share."""
+    """The dispatcher, configuration, connection table and shutdown state that client connections share."""
 
     __slots__ = ("config", "dispatcher", "is_draining", "is_stopping", "table")
 
@@ -61,7 +61,7 @@
     def __init__(self, context: ClientContext, earliest_arrival_ns: int) -> None:
         """Create the protocol of an accepted connection.
 
-        No byte of the client arrived before `earliest_arrival_ns` (monotonic).
+        No byte of the client arrived before `earliest_arrival_ns` (monotonic ns).
         """
         self._context = context
         self._table = context.table
@@ -150,7 +150,7 @@
         return has_pending_request and not self._is_closing
 
     def resume_writing(self) -> None:
-        """Continue once a response that the client reads slowly is fully written."""
+        """Continue with the next request or the close once a slowly read response is fully written."""
         if self._write_timer is not None:
             self._write_timer.cancel()
             self._write_timer = None
@@ -167,7 +167,7 @@
         return True
 
     def _check_while_paused(self) -> None:
-        """Check whether the client has disconnected; repeat this until reading is resumed."""
+        """Check periodically whether the client has disconnected, until reading is resumed."""
         self._paused_check_timer = None
         if self._transport is None or not self._is_paused or self._transport.is_closing():
             return
@@ -193,7 +193,7 @@
     # Methods that process the client's requests in order of arrival.
 
     def _advance(self) -> None:
-        """Process the parsed requests, pause or resume reading, and report the state to the table."""
+        """Process parsed requests, pause or resume reading, and report the state to the connection table."""
         transport = self._transport
         if transport is None or self._is_advancing:
             return  # a running `_serve_ready` serves the next request after a response written at once
@@ -317,7 +317,10 @@
             self._on_response_written()
 
     def _limit_write_time(self, transport: asyncio.Transport) -> None:
-        """Abort the connection at the request's deadline: the client has stopped waiting by then."""
+        """Abort the connection if the response is not fully written by the request's deadline.
+
+        The client has stopped waiting by then. Without a deadline the limit is `MAX_WRITE_SECONDS`.
+        """
         if self._deadline_ns:
             remaining_s = (self._deadline_ns - monotonic_ns()) / NS_PER_SECOND
         else:
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -36,7 +36,7 @@
     """Owns the policy, which gets an event only once all actions for the previous event are executed."""
 
     def __init__(self, config: Config, pools: ConnectionPools) -> None:
-        """Create the policy and the components that it acts on; needs a running event loop."""
+        """Create the policy and the components that the policy acts on; needs a running event loop."""
         self._config = config
         self._pools = pools
         self._balancer = Balancer(config.policy_settings, config.seed)
@@ -97,7 +97,7 @@
         self.requests.fail_all()
 
     def attempts_in_flight_by_policy(self) -> int:
-        """Return the policy's count of attempts in flight, without those released late after a time-out."""
+        """Return the policy's count of attempts in flight, without those that wait for a delayed release."""
         return self._balancer.attempts_in_flight()
 
     def has_endpoints(self) -> bool:
@@ -120,7 +120,7 @@
             self._is_dispatching = False
 
     def _report_notice(self, notice: api.Notice) -> None:
-        """Log and count an ejection or a reinstatement."""
+        """Log and count the ejection or reinstatement of an endpoint."""
         pool = self._pools.get(notice.endpoint_id)
         server = "{}:{}".format(*pool.address) if pool is not None else notice.endpoint_id.hex()
         if isinstance(notice, api.EndpointReinstated):
--- a/moleport/node/graceful_shutdown.py
+++ b/moleport/node/graceful_shutdown.py
@@ -1,7 +1,7 @@
 """The steps of a graceful shutdown on SIGTERM, in order.
 
-1. `/up` answers 503. For `serve_on_s` all other requests are accepted as before, on existing and on new
-   connections.
+1. `/up` answers 503. For `serve_on_s` all other requests are accepted as before SIGTERM, on existing and on
+   new connections.
 2. Each response closes its connection, and the clients in the kernel's accept queue are accepted.
 3. The listening socket is closed.
 4. The requests in flight are completed, and unused connections are closed.
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -147,7 +147,7 @@
     # Methods for the shutdown of the listener, in the order in which graceful_shutdown calls them.
 
     def has_waiting_clients(self) -> bool:
-        """Return whether clients wait in the accept queue; closing the socket would reset them."""
+        """Return whether clients wait in the accept queue; closing the listening socket would reset them."""
         return self._socket is not None and is_readable(self._socket.fileno())
 
     def stop_listening(self) -> None:
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -157,12 +157,15 @@
     # Methods that answer a request as the policy decides, or after the policy raised an exception.
 
     def reject(self, action: api.Reject) -> None:
-        """Answer 503, which states that the request was not executed."""
+        """Answer 503 to a request that the policy rejects; a 503 states that the request was not executed."""
         self._telemetry.count(Event.REQUEST_REJECTED_BY_POLICY, request=action.request_id)
         self.send_final_response(action.request_id, 503, retry_after_headers(action.retry_after_ns))
 
     def report_failure(self, action: api.Fail) -> None:
-        """Answer 502, or 504 from `RESPONSE_TRANSIT_NS` before the deadline on; the request may have run."""
+        """Answer 502 to a request that the policy fails; a server may have executed the request.
+
+        From `RESPONSE_TRANSIT_NS` before the request's deadline on, the status is 504.
+        """
         self._telemetry.count(Event.REQUEST_FAILED_BY_POLICY, request=action.request_id)
         request = self.active.get(action.request_id)
         if request is None:
@@ -221,7 +224,7 @@
         self._end_early(request)
 
     def _end_early(self, request: PendingRequest) -> None:
-        """End a request without a decision of the policy: notify the policy and cancel all attempts."""
+        """End a request without a decision of the policy: notify the policy and cancel the attempts."""
         self._mark_answered(request)
         self._dispatch_event(api.ClientDisconnected(request.request_number))
         for attempt in list(request.attempts.values()):
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -67,7 +67,7 @@
         self.parse_buffered()
 
     def parse_buffered(self) -> None:
-        """Parse until a request is complete.
+        """Parse buffered data until a request is complete or invalid.
 
         Parsing all pipelined requests of a client at once would delay other clients and fill the memory.
         """
@@ -109,7 +109,7 @@
         return bool(self._buffer)
 
     def wants_continue(self) -> bool:
-        """Return whether the client waits for a 100 to send the body; True at most once per request."""
+        """Return whether the client waits for a 100 (Continue) to send the body; True once per request."""
         partial = self._partial
         if partial is None or not partial.expects_continue or not self._in_body:
             return False
--- a/moleport/node/request_validation.py
+++ b/moleport/node/request_validation.py
@@ -47,7 +47,8 @@
 def validate_request(request: ParsedRequest, config: Config) -> None:
     """Validate path, method, class, id and deadline of a request whose head is complete.
 
-    Sets `path`, `class_index` and `timeout_ns` of the request. Raises InvalidRequestError.
+    Sets `path`, `class_index` and `timeout_ns` of the request. For a readiness check only `path` is set.
+    Raises InvalidRequestError.
     """
     request.path = request.target.split(b"?", 1)[0]
     if request.path == READINESS_PATH:
