--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -17,13 +17,16 @@
 from moleport.units import NS_PER_MS, NS_PER_SECOND, NS_PER_US
 
 MS_PER_SECOND = 1000
-BACKOFF_BASE_S = 0.0025  # the backoff after the n-th local connect failure is this times 2**n
-MAX_BACKOFF_DOUBLINGS = 4  # bounds n in the formula of BACKOFF_BASE_S
+# The backoff after the n-th connect failure of an attempt by a local fault is BACKOFF_BASE_S * 2**n,
+# where n is at most MAX_BACKOFF_DOUBLINGS and the backoff at most MAX_BACKOFF_S.
+BACKOFF_BASE_S = 0.0025
+MAX_BACKOFF_DOUBLINGS = 4
 MAX_BACKOFF_S = 0.04
-MAX_LOCAL_FAULT_COUNT = 8  # beyond it, a connect failure without a route ends the attempt unsent
-PERMISSION_POLL_INTERVAL_S = 0.002  # between two calls of `authorize_write` while it returns WAIT
-MAX_TIMER_DELAY_NS = 5 * NS_PER_MS  # a timer that fires even later indicates a hold of the process
-SOCKET_READ_DELAY_S = 0.001  # long enough for the event loop to read each readable socket once
+# After more than MAX_LOCAL_FAULT_COUNT local connect failures, a missing route ends an attempt as not sent.
+MAX_LOCAL_FAULT_COUNT = 8
+PERMISSION_POLL_INTERVAL_S = 0.002  # interval between calls of `authorize_write` that return WAIT
+MAX_TIMER_DELAY_NS = 5 * NS_PER_MS  # delay of a timer above which a hold of the process is assumed
+SOCKET_READ_DELAY_S = 0.001  # time in which the event loop reads each readable socket at least once
 
 UNSENT_RESULTS = (AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED)
 """Results that claim that the last byte of the request was not written."""
@@ -33,18 +36,18 @@
     """The owner's decision on an attempt that is about to connect or to write."""
 
     GRANTED = "write"
-    WAIT = "wait"  # the attempt asks again after PERMISSION_POLL_INTERVAL_S
+    WAIT = "wait"  # the attempt asks for permission again after PERMISSION_POLL_INTERVAL_S
     DENIED = "stop"  # the attempt ends without sending the request
 
 
 class AttemptState(Enum):
     """The progress of an attempt."""
 
-    WAITING = "waiting"  # without a connection, until permission is granted or a backoff has passed
-    CONNECTING = "connecting"  # a connection to the server is being opened
-    CONNECTED = "connected"  # a new connection is open, and nothing has been written to it
-    IN_FLIGHT = "in flight"  # the request is written, or being written
-    ENDED = "ended"  # by a response, a fault, a timer or `Attempt.cancel`
+    WAITING = "waiting"  # the attempt has no connection, and waits for permission or for the end of a backoff
+    CONNECTING = "connecting"  # the attempt is opening a connection to the server
+    CONNECTED = "connected"  # the attempt has a new connection, and has written nothing to it
+    IN_FLIGHT = "in flight"  # the attempt's request is written, or being written
+    ENDED = "ended"  # a response, a fault, a timer or `Attempt.cancel` has ended the attempt
 
 
 class AttemptOwner(Protocol):
@@ -65,9 +68,9 @@
         """
 
     def on_written_ended_unsent(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Handle an attempt that was ended as not executed although its request is completely written.
+        """Handle an attempt that was ended as unsent although its request is completely written.
 
-        `result` is the contradictory result; `on_attempt_ended` follows with CANCELLED in its place.
+        `result` is the contradictory result; `on_attempt_ended` is then called with CANCELLED in its place.
         """
 
     def on_attempt_ended(
@@ -135,13 +138,16 @@
         the time of the start minus the sum of all earlier holds; the attempt adds its backoffs to it.
         """
         self.request_number = request_number
-        self.index = index  # position among the attempts of the same request, from 0
+        self.index = index  # position of the attempt among those of its request, from 0
         self.endpoint_id = endpoint_id
         self.pool = pool
-        self.effective_start_ns = effective_start_ns  # start minus the sum of earlier holds, plus backoffs
+        # Time of the attempt's start minus the sum of all earlier holds, plus the attempt's backoffs.
+        self.effective_start_ns = effective_start_ns
         self.expires_at_ns = expires_at_ns
         self.write_deadline_ns = write_deadline_ns
-        self.written_at_ns = 0  # monotonic ns, set by the owner; 0: not written yet
+        self.written_at_ns = (
+            0  # time of the request's write in monotonic ns, set by the owner; 0 before the write
+        )
         self._head = head
         self._body = body
         self._owner = owner
@@ -150,7 +156,7 @@
         self._connect_task: asyncio.Task[None] | None = None
         self._new_connection: ServerConnection | None = None
         self._permission_timer: asyncio.TimerHandle | None = None
-        self._local_fault_count = 0  # failed connects for which this machine or its network was at fault
+        self._local_fault_count = 0  # connect failures for which this machine or its network was at fault
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._write_deadline_timer: asyncio.TimerHandle | None = None
 
@@ -181,7 +187,7 @@
         if self._state is AttemptState.ENDED:
             return
         if result in UNSENT_RESULTS and self._is_written():
-            # An unsent result permits a retry, which could execute the request twice.
+            # An unsent result of a written request permits a retry, which could execute the request twice.
             self._owner.on_written_ended_unsent(self, result)
             result = AttemptResult.CANCELLED
         self._set_state(AttemptState.ENDED)
@@ -212,13 +218,13 @@
         else:
             self.pool.unsent[self] = None
 
-    # Methods that obtain a connection.
+    # Methods with which an attempt obtains a connection to its server.
 
     def _acquire_connection(self) -> None:
         """Write the request to an idle connection or open a new one, if the owner permits it.
 
-        Connecting needs permission too, because it uses resources of the server and the client may have
-        disconnected.
+        Connecting needs permission like writing, because a connection uses resources of the server and the
+        client may have disconnected.
         """
         if not self._has_permission(self._acquire_connection):
             return
@@ -226,7 +232,7 @@
         if connection is not None:
             self._write_request(connection)
         elif not self.pool.pools.ensure_capacity():
-            # The server is not at fault if this process may open no further socket.
+            # The limit on sockets is reached, for which the server is not at fault.
             self.end(AttemptResult.NOT_SENT)
         else:
             self._set_state(AttemptState.CONNECTING)
@@ -250,7 +256,8 @@
         """Connect to the server, and write the request or handle the error."""
         connection = ServerConnection(self.pool)
         pools = self.pool.pools
-        pools.sockets += 1  # until connecting ends; `ServerConnection` counts the open connection
+        # The socket is counted here until connecting ends; `ServerConnection` counts an open connection.
+        pools.sockets += 1
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *self.pool.address)
         except asyncio.CancelledError:
@@ -264,7 +271,8 @@
             pools.sockets -= 1
         self._connect_task = None
         pools.on_connected()
-        if self._state is AttemptState.ENDED:  # in the iteration of the event loop that completed the connect
+        # The attempt may end in the event loop iteration in which its connection is established.
+        if self._state is AttemptState.ENDED:
             connection.close()
         elif connection.closed:
             self.end(AttemptResult.CONNECT_FAILED)
@@ -293,10 +301,11 @@
         self._set_state(AttemptState.WAITING)
         doublings = min(self._local_fault_count, MAX_BACKOFF_DOUBLINGS)
         backoff_s = min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2**doublings)
-        self.effective_start_ns += int(backoff_s * NS_PER_SECOND)  # excluded from the response time
+        # The backoff is excluded from the elapsed time of the attempt that the policy receives.
+        self.effective_start_ns += int(backoff_s * NS_PER_SECOND)
         self._permission_timer = asyncio.get_running_loop().call_later(backoff_s, self._acquire_connection)
 
-    # Methods that write the request.
+    # Methods with which an attempt writes its request to a connection.
 
     def _write_to_new_connection(self) -> None:
         """Write the request to the new connection if the owner still permits it."""
@@ -308,7 +317,7 @@
 
     def _write_request(self, connection: ServerConnection) -> None:
         """Write the request with its remaining time as X-Deadline, or end the attempt if no time remains."""
-        if connection.closed:  # the server closed it while the attempt waited for permission
+        if connection.closed:  # the server closed the connection while the attempt waited for permission
             self.end(AttemptResult.CONNECT_FAILED)
             return
         now = monotonic_ns()
@@ -317,12 +326,12 @@
         if remaining_ns <= 0 or is_write_overdue:
             self._owner.record_attempt_event(self, Event.ATTEMPT_STOPPED_TOO_LATE)
             self.pool.return_unused(connection)
-            # A missed write deadline or time spent waiting in this process is not the server's fault.
+            # The server is not at fault for a missed write deadline, nor for a wait in this process.
             is_own_delay = is_write_overdue or self._permission_timer is not None
             self.end(AttemptResult.NOT_SENT if is_own_delay else AttemptResult.CONNECT_FAILED)
             return
-        # Nothing that may take long is done between reading the clock and this write: a hold between the two
-        # makes the timeout that the request states longer than the time that remains.
+        # Nothing slow may run between reading the clock and writing the request: X-Deadline would then state
+        # more time than remains. A hold of the process between reading and writing has this effect too.
         connection.send(
             self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, remaining_ns // NS_PER_US, self._body)
         )
@@ -336,14 +345,14 @@
         """Return whether the kernel has accepted the last byte of the request."""
         return self._connection is not None and self._connection.written
 
-    # Methods that enforce the time limit.
+    # Methods that enforce the time limit of an attempt.
 
     def _start_timer(self, expires_at_ns: int) -> None:
-        """Start or replace the timer that ends the attempt at `expires_at_ns`, in monotonic ns, or later.
+        """Start or replace the timer that ends the attempt at or after `expires_at_ns`, in monotonic ns.
 
-        The delay is rounded up, because the event loop rounds to milliseconds and must not fire early: a
-        retry after an early timeout would have too little time for any server to respond, and its timeout
-        would count as a failure of that server.
+        The timer's delay is rounded up, because the event loop rounds to milliseconds and must not fire
+        early: a retry after an early timeout would have too little time for any server to respond, and the
+        timeout of the retry would count as a failure of its server.
         """
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
--- a/moleport/node/attempt_supervisor.py
+++ b/moleport/node/attempt_supervisor.py
@@ -19,7 +19,7 @@
 
 
 class AttemptSupervisor:
-    """The `AttemptOwner` of all attempts of the node."""
+    """Starts and authorizes all attempts of the node, and reports their outcomes (see `AttemptOwner`)."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         telemetry: Telemetry,
         dispatch_event: Callable[[api.Event], None],
     ) -> None:
-        """Report the outcomes of attempts to the policy through `dispatch_event`."""
+        """Create a supervisor that reports outcomes of attempts to the policy through `dispatch_event`."""
         self._drain_grace_ns = config.drain_grace_ns
         self._max_attempts = config.policy_settings.max_attempts
         self._classes = config.policy_settings.classes
@@ -46,8 +46,8 @@
         """Start the next attempt of a request, or report NOT_SENT at once if it may not be started."""
         request = self._active.get(action.request_id)
         if request is None:
-            # The request was removed, and its attempt count with it. Each possible index is reported; the
-            # policy ignores the indices of attempts that have already ended.
+            # A removed request has no attempt count, so each possible attempt index is reported as not sent.
+            # The policy ignores the indices of attempts that have already ended.
             for index in range(self._max_attempts):
                 self._report_not_sent(action.request_id, True, action.endpoint_id, index)
             return
@@ -81,7 +81,7 @@
     def _report_not_sent(
         self, request_number: int, is_answered: bool, endpoint_id: EndpointId, index: int
     ) -> None:
-        """Report to the policy that an attempt was not started."""
+        """Report to the policy an attempt that was not started, with the result NOT_SENT."""
         self._dispatch_event(
             api.AttemptOutcome(
                 request_number, is_answered, AttemptResult.NOT_SENT, 0, endpoint_id, index, load_report=()
@@ -91,9 +91,9 @@
     def authorize_write(self, attempt: Attempt) -> WritePermission:
         """Decide whether an attempt may connect or write now.
 
-        This is the only check before anything is sent to a server. It runs before each connect and each
-        write, because the client may have disconnected, or the server may have begun to drain, since the
-        policy's decision.
+        No other check precedes a connect or a write to a server. Each connect and each write is checked,
+        because the client may have disconnected, or the server may have begun to drain, since the policy's
+        decision.
         """
         request = self._active.get(attempt.request_number)
         if request is None or request.is_answered:
@@ -102,7 +102,7 @@
             self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_REMOVED)
             return WritePermission.DENIED
         if self._hold_detector.is_settling():
-            # The server's drain grace may have passed while the update about its drain was unread.
+            # After a hold, an update about the server's drain may be unread and the drain grace be over.
             self.record_attempt_event(attempt, Event.ATTEMPT_DELAYED_AFTER_STALL)
             return WritePermission.WAIT
         if request.client_left_at_ns or request.client_request.client.has_disconnected():
@@ -124,7 +124,7 @@
         """
         now = written_at_ns
         request = self._active.get(attempt.request_number)
-        assert request is not None  # a request stays active while an attempt is in flight
+        assert request is not None  # a request stays active while one of its attempts is in flight
         self.record_attempt_event(attempt, Event.ATTEMPT_WRITTEN)
         if attempt.index:
             self._telemetry.count(Event.ATTEMPT_RETRIED)
@@ -154,7 +154,7 @@
         attempt.written_at_ns = now
 
     def on_written_ended_unsent(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Report the violation that an attempt was ended as not executed after its request was written."""
+        """Report the violation that an attempt was ended as unsent after its request was written."""
         self._telemetry.violate(
             Invariant.RESULT_MATCHES_WRITE,
             request=attempt.request_number,
@@ -167,7 +167,8 @@
     ) -> None:
         """Send a response that is final to the client, and report the outcome to the policy."""
         request = self._active[attempt.request_number]
-        # The complete length of a hold is subtracted, including the part of it before the attempt's start.
+        # A hold that is detected after the attempt's start is subtracted completely from the elapsed time,
+        # including the part of the hold before the start.
         elapsed_ns = max(0, monotonic_ns() - self._hold_detector.total_hold_ns() - attempt.effective_start_ns)
         if result not in NOT_EXECUTED and not request.first_execution_ns:
             request.first_execution_ns = attempt.written_at_ns or monotonic_ns()
@@ -204,5 +205,5 @@
         if result is AttemptResult.OK:
             self._requests.send_final_response(request.request_number, 200, response.headers, response.body)
         elif result is AttemptResult.CLIENT_ERROR:
-            # The request itself is at fault, so a retry at another server would get the same response.
+            # A CLIENT_ERROR is a fault of the request, so another server would send the same response.
             self._requests.send_final_response(request.request_number, response.status, [])
