--- a/moleport/node/connection_pool.py
+++ b/moleport/node/connection_pool.py
@@ -1,4 +1,4 @@
-"""The idle connections to one server, and the attempts that have not written their request to it."""
+"""The idle connections to one server, and the attempts that have not begun to write to the server."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     from moleport.node.connection_pools import ConnectionPools
     from moleport.node.server_connection import ServerConnection
 
-# A connection that became idle is not reused for this long, because a duplicate of its last response may
-# still arrive.
+# An idle connection is not reused until it has been idle for COOL_DOWN_NS, because a duplicate of the last
+# response may still arrive on the connection.
 COOL_DOWN_NS = 5_000_000
 
 
 class ConnectionPool:
-    """The idle connections to one incarnation of a server, and the attempts that are still unsent.
+    """The idle connections to one incarnation of a server, and the attempts that have not begun to write.
 
     A server that restarts or changes its address gets a new pool, so that no connection to its previous
     incarnation is reused.
@@ -28,15 +28,17 @@
     def __init__(self, pools: ConnectionPools, address: tuple[str, int], started_at_ns: int) -> None:
         """Create an empty pool for the server at `address` (host, port).
 
-        `started_at_ns` is the start of the server in monotonic ns; 0: long ago.
+        `started_at_ns` is the time of the server's start in monotonic ns; 0 means long ago.
         """
         self.pools = pools
         self.address = address
         self.started_at_ns = started_at_ns
         self.is_retired = False
-        self.retired_at_ns = 0  # monotonic ns; 0: not retired
-        self.idle: list[ServerConnection] = []  # ordered by idle_since_ns, the most recently used last
-        # An ordered set that the attempts update themselves; a `set` would use more memory.
+        self.retired_at_ns = 0  # time of the pool's retirement in monotonic ns; 0 before the retirement
+        # Idle connections, ordered by `idle_since_ns`: the most recently used connection is last.
+        self.idle: list[ServerConnection] = []
+        # Attempts that have not begun to write, as an ordered set. Each attempt adds and removes itself.
+        # A `set` would use more memory than this `dict`.
         self.unsent: dict[Attempt, None] = {}
 
     def acquire(self) -> ServerConnection | None:
@@ -61,21 +63,21 @@
         return None
 
     def return_used(self, connection: ServerConnection) -> None:
-        """Add a connection that has just received a response; its idle time starts now."""
+        """Add a connection that has just received a response, as idle from now on."""
         connection.idle_since_ns = monotonic_ns()
         self._add_idle(connection)
 
     def return_unused(self, connection: ServerConnection) -> None:
         """Add a connection that has carried no request since it was acquired or opened.
 
-        Its idle time continues if it was idle before, and starts now otherwise.
+        The idle time of a connection that was idle before continues; that of a new connection starts now.
         """
         if not connection.idle_since_ns:
             connection.idle_since_ns = monotonic_ns()
         self._add_idle(connection)
 
     def _add_idle(self, connection: ServerConnection) -> None:
-        """Insert a connection in the order of idle times, unless it is closed or the pool is retired."""
+        """Insert an open connection in the order of idle times, or close it if the pool is retired."""
         if self.is_retired or connection.closed:
             connection.close()
         else:
@@ -100,7 +102,7 @@
             connection.close()
 
     def retire(self) -> None:
-        """Stop sending requests, because the server is draining, was removed, has moved or has restarted.
+        """Send no further request: the server is draining, was removed, has moved or has restarted.
 
         Requests in flight continue; attempts whose request is not written yet end as not sent.
         """
@@ -112,5 +114,5 @@
 
 
 def _idle_since_ns(connection: ServerConnection) -> int:
-    """Return the sort key of idle connections, in monotonic ns."""
+    """Return the time since which a connection has been idle, in monotonic ns, as a sort key."""
     return connection.idle_since_ns
--- a/moleport/node/connection_pools.py
+++ b/moleport/node/connection_pools.py
@@ -11,10 +11,10 @@
 from moleport.policy.interface import EndpointId
 from moleport.units import NS_PER_SECOND
 
-# A connection is not reused after this fraction of the server's idle timeout: a request that is written when
-# the server has closed the connection is lost.
+# Fraction of the server's idle timeout after which an idle connection to the server is not reused.
+# A request that is written to a connection that the server has closed is lost.
 IDLE_TIMEOUT_FRACTION = 0.9
-# If at least this many addresses (or all, if there are fewer servers) have no route, the network is at fault.
+# Number of server addresses without a route (or all, if there are fewer) at which the network is at fault.
 MIN_UNREACHABLE_SERVERS = 2
 
 
@@ -22,7 +22,7 @@
     """One connection pool for each endpoint, and a limit on the sockets of all pools together."""
 
     def __init__(self, max_sockets: int, connect_timeout_ns: int, idle_timeout_ns: int) -> None:
-        """Start without pools.
+        """Create the collection without any pool.
 
         `max_sockets` limits the connections to servers, open or connecting. `idle_timeout_ns` is the time
         after which a server closes an idle connection.
@@ -30,11 +30,12 @@
         self.sockets = 0  # number of connections to servers that are open or connecting
         self.connect_timeout_ns = connect_timeout_ns
         self.max_idle_ns = int(idle_timeout_ns * IDLE_TIMEOUT_FRACTION)
-        # An ordered set. A pool without idle connections is removed from it by the next sweep.
+        # Pools that may have idle connections, as an ordered set.
+        # The next sweep removes a pool without idle connections from the set.
         self.pools_with_idle_connections: dict[ConnectionPool, None] = {}
         self._max_sockets = max_sockets
         self._pools: dict[EndpointId, ConnectionPool] = {}
-        # Addresses without a route, since a connection to any server was last established.
+        # Server addresses that had no route since a connection to any server was last established.
         self._unreachable_addresses: set[tuple[str, int]] = set()
         self._sweep_interval_s = idle_timeout_ns * (1 - IDLE_TIMEOUT_FRACTION) / 2 / NS_PER_SECOND
 
@@ -88,7 +89,7 @@
     def close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest, and return whether there was one.
 
-        The event loop frees its descriptor in a later iteration.
+        The event loop frees the descriptor of the closed connection in a later iteration.
         """
         idle_pools = [pool for pool in self.pools_with_idle_connections if pool.idle]
         if not idle_pools:
@@ -98,11 +99,11 @@
         return True
 
     def on_connected(self) -> None:
-        """Record that a server was reached, so that the network is not at fault."""
+        """Forget the addresses without a route, because reaching a server shows that the network works."""
         self._unreachable_addresses.clear()
 
     def classify_connect_error(self, address: tuple[str, int], error: OSError) -> Fault:
-        """Return the party at fault for an error that occurred while connecting to an address.
+        """Return the party at fault for an error that occurred while connecting to a server's address.
 
         A missing route counts as a fault of the server until `MIN_UNREACHABLE_SERVERS` addresses have had no
         route, with no successful connection in between; from then on the network is at fault. With a single
--- a/moleport/node/server_connection.py
+++ b/moleport/node/server_connection.py
@@ -18,14 +18,14 @@
     from moleport.node.connection_pool import ConnectionPool
 
 REJECTION_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
-# These 4xx statuses indicate an overloaded server, not a fault of the request.
+# The 4xx statuses that indicate an overloaded server, not a fault of the request.
 OVERLOAD_STATUSES = (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS)
 
 
 class ServerConnection(asyncio.Protocol):
     """A connection to a server that carries one request at a time.
 
-    After a response it returns to its pool, unless the server or an error closes it.
+    After a response the connection returns to its pool, unless the server or an error closes it.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
@@ -33,13 +33,14 @@
         self._pool = pool
         self._transport: asyncio.Transport | None = None
         self._poller = select.poll()
-        self._parser: ResponseParser | None = None  # None unless the connection is open
-        self._attempt: Attempt | None = None  # None unless a request is in flight
-        self.written = False  # whether the kernel has accepted the last byte of the request
+        self._parser: ResponseParser | None = None  # parser of the server's responses; None unless connected
+        self._attempt: Attempt | None = None  # attempt of the request in flight, if any
+        self.written = False  # whether the kernel has accepted the last byte of the latest request
         self.closed = False
-        self.idle_since_ns = 0  # monotonic ns; 0: it has never been idle
+        # Time at which the connection last became idle, in monotonic ns; 0 before the first time.
+        self.idle_since_ns = 0
 
-    # Methods that the event loop calls.
+    # Methods of `asyncio.Protocol`, which the event loop calls for the connection to a server.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set up the socket and the parser of a new connection."""
@@ -49,9 +50,10 @@
         self._parser = ResponseParser()
         tcp_socket = transport.get_extra_info("socket")
         self._poller.register(tcp_socket.fileno(), select.POLLIN)
-        with suppress(OSError):  # raised if the connection is already broken
+        with suppress(OSError):  # setsockopt raises OSError if the connection is already broken
             tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # With a limit of 0, `resume_writing` is called once the kernel has accepted the last byte.
+        # With a write buffer limit of 0, the event loop calls `resume_writing` once the kernel has accepted
+        # the last byte of the request.
         transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
@@ -67,7 +69,8 @@
         try:
             parser.feed(data)
         except InvalidResponseError:
-            # The result is not RESET, which states that this connection was lost and that others may be too.
+            # An invalid response does not end the attempt as RESET, because RESET states that a connection
+            # was lost, and that other connections to the server may be lost too.
             self._fail_attempt(AttemptResult.ERROR)
             return
         if parser.is_complete:
@@ -87,11 +90,12 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the pool, and end the attempt that is waiting for a response."""
+        """Remove the lost connection from its pool, and end the attempt that is waiting for a response."""
         self.closed = True
         self._pool.on_disconnected(self)
         if fault_of(exc) in LOCAL_FAULTS:
-            # The server is not at fault. A written request may have been executed, so it ends as CANCELLED.
+            # The server is not at fault for a local error.
+            # A completely written request may have been executed, so its attempt ends as CANCELLED.
             self._fail_attempt(AttemptResult.CANCELLED, if_unwritten=AttemptResult.NOT_SENT)
         else:
             self._fail_attempt(AttemptResult.RESET)
@@ -99,12 +103,12 @@
             self._parser.close()
             self._parser = None
 
-    # Methods that the attempt and the pool call.
+    # Methods of a connection to a server that its attempt and its pool call.
 
     def on_connect_cancelled(self) -> None:
         """Call `connection_lost` for a connection that the event loop closes without calling it.
 
-        This happens if connecting is cancelled just after `connection_made`.
+        The event loop does so if connecting is cancelled just after `connection_made`.
         """
         if self._transport is not None and not self.closed:
             self.connection_lost(None)
@@ -118,7 +122,7 @@
         return not self._poller.poll(0)
 
     def send(self, attempt: Attempt, data: bytes) -> None:
-        """Write the request of an attempt; `Attempt.end` is called with the result."""
+        """Write the request of an attempt; the connection calls `Attempt.end` with the result."""
         transport, parser = self._transport, self._parser
         assert transport is not None
         assert parser is not None
@@ -129,7 +133,7 @@
         self.written = not transport.is_closing() and not transport.get_write_buffer_size()
 
     def release(self, attempt: Attempt) -> None:
-        """Detach the ended attempt; return to the pool, or close if the connection is not reusable."""
+        """Detach the ended attempt; return the connection to the pool, or close it if it is not reusable."""
         if self._attempt is not attempt:
             return
         self._attempt = None
@@ -140,12 +144,12 @@
             self.close()
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection at once, and discard data that is not written yet."""
         if self._transport is not None:
             self._transport.abort()
 
     def _is_reset(self) -> bool:
-        """Return whether the kernel has received a reset after the last data."""
+        """Return whether the kernel has received a TCP reset of the connection after the last data."""
         return any(events & (select.POLLERR | select.POLLHUP) for _, events in self._poller.poll(0))
 
     def _fail_attempt(
