--- a/moleport/node/json_stream.py
+++ b/moleport/node/json_stream.py
@@ -1,4 +1,4 @@
-"""Splits a byte stream into JSON objects as it arrives.
+"""Splits a byte stream into JSON objects while the stream arrives.
 
 The splitter scans only for braces and strings; the caller decodes the objects. An object may be indented, may
 span any number of lines, and may be divided at any byte between two reads.
@@ -8,26 +8,26 @@
 
 import re
 
-# Matches the bytes up to and including the next brace outside of a string. The group contains the brace, or
-# is empty at the end of the data and before a string that is not closed yet. The quantifiers are possessive,
-# so that no byte is scanned twice.
+# NEXT_BRACE matches JSON text up to and including the next brace outside of a string.
+# The group of the match holds the brace, or is empty at the end of the data and before an unclosed string.
+# The quantifiers of the expression are possessive, so that no byte is scanned twice.
 NEXT_BRACE = re.compile(rb'(?:[^"{}]++|"[^"\\]*+(?:\\.[^"\\]*+)*+")*+([{}]?)', re.DOTALL)
 
 
 class JsonObjectSplitter:
-    """Collects bytes and returns each object once its last brace has arrived."""
+    """Collects bytes of a stream and returns each JSON object once its last brace has arrived."""
 
     def __init__(self) -> None:
         """Create a splitter for the beginning of a stream."""
         self._buffer = b""
-        self._scanned_bytes = 0  # length of the start of the buffer that is already scanned
-        self._depth = 0  # number of open braces at the end of the scanned part
+        self._scanned_bytes = 0  # number of bytes at the start of the buffer that are already scanned
+        self._depth = 0  # number of open braces at the end of the scanned bytes
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add data and return the objects that it completes, in order.
+        """Add `data` to the buffer and return the JSON objects that are then complete, in order.
 
-        Text between two objects, other than white space, is invalid. It is returned like an object, so that
-        the decoder rejects it.
+        Text between two objects, other than white space, is invalid. Such text is returned like an object,
+        so that the decoder rejects it.
         """
         self._buffer += data
         objects = []
@@ -56,9 +56,9 @@
         return objects
 
     def is_between_objects(self) -> bool:
-        """Return whether each object that has begun is complete."""
+        """Return whether each JSON object that has begun is complete."""
         return self._depth == 0
 
     def buffered_bytes(self) -> int:
-        """Return the number of bytes received of an incomplete object."""
+        """Return the number of bytes received of an incomplete JSON object."""
         return len(self._buffer)
--- a/moleport/node/response_parser.py
+++ b/moleport/node/response_parser.py
@@ -9,8 +9,8 @@
 
 from moleport.node.http_limits import HEADER_LINE_BYTES, HOP_BY_HOP_HEADERS, MAX_BODY_BYTES, MAX_HEAD_BYTES
 
-MAX_INTERIM_COUNT = 16  # interim (1xx) responses before the final response
-MIN_FINAL_STATUS = HTTPStatus.OK.value  # lower statuses are those of interim responses
+MAX_INTERIM_COUNT = 16  # limit on interim (1xx) responses to one request
+MIN_FINAL_STATUS = HTTPStatus.OK.value  # statuses below MIN_FINAL_STATUS are those of interim responses
 STATUSES_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 
 
@@ -22,13 +22,13 @@
     """A complete response of a server."""
 
     status: int
-    headers: list[tuple[bytes, bytes]]  # names and values of end-to-end headers, in original order and case
+    headers: list[tuple[bytes, bytes]]  # end-to-end headers, in the server's order and case
     body: bytes
-    load_report: bytes  # value of the X-Load header; empty if there is none
+    load_report: bytes  # value of the response's X-Load header; empty without this header
 
 
 class ResponseParser:
-    """Collects one response at a time from the callbacks of an HTTP parser.
+    """Collects one response at a time from the callbacks of an HTTP parser (httptools).
 
     Call `reset` before each request, and `feed` with the data from the server until `is_complete` is set.
     Call `close` after the last response, to break the reference cycle with the HTTP parser.
@@ -52,10 +52,10 @@
     )
 
     def __init__(self) -> None:
-        """Prepare for the first response."""
+        """Prepare for the first response on the connection."""
         self._http_parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._interim_count = 0
-        self.is_reusable = False  # whether the connection may carry another request
+        self.is_reusable = False  # whether the connection may carry another request after the response
         self.reset()
 
     def reset(self) -> None:
@@ -67,19 +67,20 @@
     def _reset_message(self) -> None:
         """Discard the previous message: an earlier response, or an interim response before the final one."""
         self.status = 0
-        self._received_bytes = 0  # size of the head so far, or of the body after `on_headers_complete`
-        self._header_bytes = 0  # size of the reason phrase, the headers and the trailers so far
+        # Bytes received of the response head, or of the response body after `on_headers_complete`.
+        self._received_bytes = 0
+        self._header_bytes = 0  # bytes received of the reason phrase, headers and trailers
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._load_report = b""
         self.is_not_executed = False  # whether the server states that it did not execute the request
-        self._is_framed = False  # whether the length of the body is given by Content-Length or by chunks
-        self._ends_with_connection = False  # whether the body ends where the connection ends
+        self._is_framed = False  # whether Content-Length or chunks mark the end of the response body
+        self._ends_with_connection = False  # whether the response body ends where the connection ends
         self._in_head = True
         self.is_complete = False
 
     def close(self) -> None:
-        """Release the HTTP parser; `feed` may not be called after that."""
+        """Release the HTTP parser; `feed` may not be called after `close`."""
         self._http_parser = None
 
     def feed(self, data: bytes) -> None:
@@ -100,7 +101,7 @@
             self._received_bytes += len(data)
             if self._received_bytes > MAX_HEAD_BYTES:
                 raise InvalidResponseError(
-                    f"response head of {self._received_bytes} bytes exceeds {MAX_HEAD_BYTES}"
+                    f"response head of {self._received_bytes} bytes exceeds {MAX_HEAD_BYTES} bytes"
                 )
 
     def may_end_with_connection(self) -> bool:
@@ -117,26 +118,27 @@
         """Return the complete response."""
         return ServerResponse(self.status, self._headers, b"".join(self._body), self._load_report)
 
-    # Callbacks of the HTTP parser, which wraps the exceptions that they raise in an HttpParserCallbackError.
+    # Callbacks of the HTTP parser (httptools), which wraps their exceptions in an HttpParserCallbackError.
 
     def on_message_begin(self) -> None:
         """Discard an interim response before this message, and reject a second final response."""
         if self.is_complete:
-            raise InvalidResponseError("more than one response to one request")
+            raise InvalidResponseError("server sent more than one response to one request")
         if self._interim_count:
             self._reset_message()
 
     def on_status(self, reason: bytes) -> None:
-        """Add the reason phrase to the size of the head, and check the limit."""
+        """Add the reason phrase to the size of the response head, and check the limit of the head."""
         self._header_bytes += len(reason)
         self._check_head_size()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store an end-to-end header, or interpret a header that frames the body or is meant for this node.
 
-        A trailer adds to the size of the head and is discarded.
+        A trailer adds to the size of the response head and is discarded.
         """
-        # The check in `feed` covers neither a head that arrives in one piece nor the trailers.
+        # The limit in `feed` covers neither a response head that arrives in one piece nor trailers,
+        # so the bytes of each header are counted here too.
         self._header_bytes += len(name) + len(value) + HEADER_LINE_BYTES
         if self._header_bytes > MAX_HEAD_BYTES:
             self._check_head_size()
@@ -148,14 +150,16 @@
         elif lower_name == b"x-not-run":
             self.is_not_executed = value.strip() == b"1"
         elif lower_name == b"content-length":
-            # A body that is too long is rejected by its length, before any of it is read.
+            # A response body that is too long by its Content-Length is rejected before it is read.
             if int(value) > MAX_BODY_BYTES:
-                raise InvalidResponseError(f"response body of {int(value)} bytes exceeds {MAX_BODY_BYTES}")
+                raise InvalidResponseError(
+                    f"response body of {int(value)} bytes exceeds {MAX_BODY_BYTES} bytes"
+                )
             self._is_framed = True
         elif lower_name == b"transfer-encoding":
             coding = value.strip().lower()
             if coding not in (b"chunked", b"identity"):
-                raise InvalidResponseError(f"unsupported transfer coding {coding!r}")
+                raise InvalidResponseError(f"response has the unsupported transfer coding {coding!r}")
             self._is_framed = coding == b"chunked"
         elif lower_name not in HOP_BY_HOP_HEADERS:
             self._headers.append((name, value))
@@ -164,28 +168,28 @@
         """Raise InvalidResponseError if the reason phrase, headers and trailers exceed MAX_HEAD_BYTES."""
         if self._header_bytes > MAX_HEAD_BYTES:
             raise InvalidResponseError(
-                f"response head of over {self._header_bytes} bytes exceeds {MAX_HEAD_BYTES}"
+                f"response head of over {self._header_bytes} bytes exceeds {MAX_HEAD_BYTES} bytes"
             )
 
     def on_headers_complete(self) -> None:
-        """Store the status, and determine how the end of the body is marked."""
+        """Store the response status, and determine how the end of the response body is marked."""
         assert self._http_parser is not None
         self.status = self._http_parser.get_status_code()
         if self.status < MIN_FINAL_STATUS:
             self._interim_count += 1
             if self._interim_count > MAX_INTERIM_COUNT:
-                raise InvalidResponseError(f"more than {MAX_INTERIM_COUNT} interim responses")
+                raise InvalidResponseError(f"server sent more than {MAX_INTERIM_COUNT} interim responses")
         else:
             self._ends_with_connection = not self._is_framed and self.status not in STATUSES_WITHOUT_BODY
         self._in_head = False
         self._received_bytes = 0
 
     def on_body(self, data: bytes) -> None:
-        """Store a part of the body."""
+        """Store a part of the response body."""
         self._received_bytes += len(data)
         if self._received_bytes > MAX_BODY_BYTES:
             raise InvalidResponseError(
-                f"response body of {self._received_bytes} bytes exceeds {MAX_BODY_BYTES}"
+                f"response body of {self._received_bytes} bytes exceeds {MAX_BODY_BYTES} bytes"
             )
         self._body.append(data)
 
