--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -22,21 +22,23 @@
 
 log = logging.getLogger(__name__)
 
-# The response timeouts limit the time from the opening of a watch to the headers of its response. A discovery
-# agent on the same machine responds at once; a discovery service that all nodes share queues their requests.
+# The response timeouts limit the time from the opening of a watch to the headers of discovery's response.
+# A discovery agent on the same machine responds at once.
+# A discovery service that all nodes share queues their requests, so its timeout is longer.
 AGENT_RESPONSE_TIMEOUT_S = 0.5
 SHARED_RESPONSE_TIMEOUT_S = 2.5
-# Discovery sends an empty line at once, and then at least every 2 s. White space between two JSON objects,
-# such as an empty line, counts as data.
-FIRST_DATA_TIMEOUT_S = 2.5  # from the opening of a watch to the first data
-DATA_TIMEOUT_S = 3.0  # from received data to the next data
-MAX_UPDATE_BYTES = 4 << 20  # a longer update ends the watch
-SLICE_ENTRY_COUNT = 512  # entries of an update that are parsed in one loop iteration, in about 1 ms
+# Discovery sends an empty line as soon as a watch opens, and then at least every 2 s.
+# White space between two JSON objects, such as an empty line, counts as data.
+FIRST_DATA_TIMEOUT_S = 2.5  # limit on the time from the opening of a watch to the first data
+DATA_TIMEOUT_S = 3.0  # limit on the time between two receptions of data on a watch
+MAX_UPDATE_BYTES = 4 << 20  # limit on the size of a discovery update; a longer update ends the watch
+# Number of entries of an update that are parsed in one event loop iteration, in about 1 ms.
+SLICE_ENTRY_COUNT = 512
 
 
 @dataclass(slots=True, eq=False)
 class _PartialUpdate:
-    """An update whose entries are being parsed; it is reported once all of them are parsed and valid."""
+    """An update whose entries are being parsed; the update is reported once all entries are valid."""
 
     watch: WatchConnection
     version: int
@@ -114,13 +116,13 @@
         try:
             await self._loop.create_connection(lambda: watch, *self._address)
         except OSError as error:
-            self.on_watch_ended(watch, f"connecting to {self._address} failed: {error!r}")
+            self.on_watch_ended(watch, f"connecting to discovery at {self._address} failed: {error!r}")
 
     def is_current(self, watch: WatchConnection) -> bool:
         """Return whether a watch has been neither closed nor replaced."""
         return watch is self._watch
 
-    # Methods that process updates.
+    # Methods that process the updates of the endpoint list that a watch receives.
 
     def on_json_object(self, watch: WatchConnection, text: bytes) -> None:
         """Parse a JSON object that a watch has received; the watch ends if it is not a valid update."""
@@ -128,14 +130,15 @@
         if watch is not self._watch:
             return
         try:
-            # The text is decoded in one call, because `json` has no incremental decoder. `MAX_UPDATE_BYTES`
-            # limits the time that this takes. The entries are parsed in slices later.
+            # An update is decoded in one call, because `json` has no incremental decoder; MAX_UPDATE_BYTES
+            # limits the time of this call. The entries of the update are parsed in slices later.
             version, is_snapshot, entries = parse_update_header(json.loads(text))
-            # An older update, even a snapshot, would revert newer changes. If discovery has restarted its
-            # version count, the update is accepted on the next watch, which requests a snapshot.
+            # An update with an older version, even a snapshot, would revert newer changes.
+            # If discovery has restarted its version count, the next watch, which requests a snapshot,
+            # accepts the update.
             if version < self._version:
                 raise EndpointListError(
-                    f"version {version} is older than the current version {self._version}"
+                    f"update version {version} is older than the current version {self._version}"
                 )
         except (ValueError, RecursionError, EndpointListError) as error:
             self._reject_update(watch, error)
@@ -146,7 +149,7 @@
             self._loop.call_soon(self._continue_parsing, self._partial_update)
 
     def _continue_parsing(self, update: _PartialUpdate) -> None:
-        """Parse one slice in each loop iteration, so that requests are served between the slices."""
+        """Parse one slice of an update in each loop iteration; requests are served between the slices."""
         if update is self._partial_update:
             self._parse_slice()
         if update is self._partial_update:
@@ -175,9 +178,9 @@
     def _reject_update(self, watch: WatchConnection, error: Exception) -> None:
         """Discard an invalid update, and end its watch."""
         self._partial_update = None
-        # The changes in the rejected update are unknown, so the next watch requests a snapshot.
+        # The changes in a rejected update are unknown, so the next watch requests a snapshot.
         self._version = 0
-        self.on_watch_ended(watch, f"invalid update: {error}")
+        self.on_watch_ended(watch, f"invalid endpoint list update: {error}")
 
     def on_watch_ended(self, watch: WatchConnection, reason: str) -> None:
         """Log and report the end of the current watch; calls for any other watch are ignored."""
@@ -192,28 +195,29 @@
     """The connection of one watch, which splits the body of the response into JSON objects."""
 
     def __init__(self, owner: DiscoveryClient) -> None:
-        """Start the timeout for the headers of the response."""
+        """Start the timeout for the response headers of the watch."""
         self._owner = owner
         self._transport: asyncio.Transport | None = None
-        self._parser: httptools.HttpResponseParser | None = None  # None unless the connection is open
+        # Parser of discovery's response to the watch; None unless the connection is open.
+        self._parser: httptools.HttpResponseParser | None = None
         self._splitter = JsonObjectSplitter()
         self._loop = asyncio.get_running_loop()
         self._opened_at = self._loop.time()
         self._timeout = self._loop.call_at(
             self._opened_at + owner.response_timeout_s,
             self._end_watch,
-            f"no response headers within {owner.response_timeout_s} s",
+            f"no response headers from discovery within {owner.response_timeout_s} s",
         )
 
     def close(self) -> None:
-        """Close the connection without a report."""
+        """Close the connection of the watch without reporting the end of the watch."""
         self._timeout.cancel()
-        self._parser = None  # breaks the reference cycle between the HTTP parser and this object
+        self._parser = None  # breaks the reference cycle between the HTTP parser and the watch
         if self._transport is not None:
             self._transport.abort()
 
     def _end_watch(self, reason: str) -> None:
-        """Finish the current update, report the end of the watch, and close the connection."""
+        """Finish parsing the current update, report the end of the watch, and close the connection."""
         if self._owner.is_current(self):
             try:
                 self._owner.finish_parsing()
@@ -222,19 +226,19 @@
         self.close()
 
     def _set_data_deadline(self, deadline: float) -> None:
-        """End the watch at `deadline`, in seconds of the loop's clock, unless this is called again before.
+        """End the watch at `deadline`, in seconds of the loop's clock, unless a later call replaces it.
 
-        The other end of a connection may fail without closing it. The deadline is extended by data that
-        completes a JSON object or that ends between two objects.
+        Discovery may fail without closing the connection. Data that completes a JSON object, or that ends
+        between two objects, extends the deadline.
         """
         self._timeout.cancel()
         if self._owner.is_current(self):
-            self._timeout = self._loop.call_at(deadline, self._end_watch, "no data before the timeout")
+            self._timeout = self._loop.call_at(deadline, self._end_watch, "no data from discovery in time")
 
-    # Methods that the event loop calls.
+    # Methods of `asyncio.Protocol`, which the event loop calls for the connection of a watch.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request, unless the watch was closed while it was connecting."""
+        """Send the watch request, or abort the connection if the watch was closed while connecting."""
         # The cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
         self._transport = transport = cast(asyncio.Transport, transport)
         if self._owner.is_current(self):
@@ -251,35 +255,35 @@
         try:
             parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._end_watch(f"malformed HTTP response: {error!r}")
+            self._end_watch(f"malformed HTTP response from discovery: {error!r}")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the watch."""
+        """Report the end of the watch, because its connection was closed."""
         self._timeout.cancel()
-        self._end_watch(f"connection closed: {exc!r}")
+        self._end_watch(f"connection to discovery closed: {exc!r}")
 
-    # Callbacks of the HTTP parser.
+    # Callbacks of the HTTP parser (httptools) for discovery's response to a watch.
 
     def on_headers_complete(self) -> None:
-        """Check the status and start the timeout for the first data; skip interim (1xx) responses."""
+        """Check the response status and start the timeout for first data; skip interim (1xx) responses."""
         if self._parser is None:
             return
         status = self._parser.get_status_code()
         if status == 200:
             self._set_data_deadline(self._opened_at + FIRST_DATA_TIMEOUT_S)
         elif status >= 200:
-            self._end_watch(f"response status {status}, expected 200")
+            self._end_watch(f"discovery responded with status {status}, expected 200")
 
     def on_body(self, data: bytes) -> None:
-        """Pass the JSON objects that the data completes to the owner, and extend the deadline for data."""
+        """Pass the JSON objects that `data` completes to the owner, and extend the deadline for data."""
         objects = self._splitter.feed(data)
         for text in objects:
             self._owner.on_json_object(self, text)
         if objects or self._splitter.is_between_objects():
             self._set_data_deadline(self._loop.time() + DATA_TIMEOUT_S)
         if self._splitter.buffered_bytes() > MAX_UPDATE_BYTES:
-            self._end_watch(f"update exceeds {MAX_UPDATE_BYTES} bytes")
+            self._end_watch(f"endpoint list update exceeds {MAX_UPDATE_BYTES} bytes")
 
     def on_message_complete(self) -> None:
         """End the watch; discovery ends the response only when it ends the watch."""
-        self._end_watch("discovery ended the response")
+        self._end_watch("discovery ended the response to the watch")
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -25,8 +25,10 @@
 from moleport.policy.interface import DiscoveryMode, EndpointState, EndpointUpdateKind
 from moleport.telemetry import Event, Telemetry
 
-RESYNC_DELAY_S = 1.0  # from an update that the policy failed on to the complete list
-SLICE_ENDPOINT_COUNT = 256  # endpoints that the policy is notified of in one loop iteration
+# Delay, in s, from an update that the policy failed on to sending the complete list to the policy.
+RESYNC_DELAY_S = 1.0
+# Number of endpoints of a long update that the policy is notified of in one event loop iteration.
+SLICE_ENDPOINT_COUNT = 256
 
 
 class EndpointList:
@@ -48,8 +50,8 @@
         self._telemetry = telemetry
         self._dispatch_event = dispatch_event
         self._loop = asyncio.get_running_loop()
-        self._known: dict[str, DiscoveredEndpoint] = {}  # by id; those that the policy knows
-        self._pending: dict[str, DiscoveredEndpoint] = {}  # by id; those not applied yet
+        self._known: dict[str, DiscoveredEndpoint] = {}  # endpoints that the policy knows, by id
+        self._pending: dict[str, DiscoveredEndpoint] = {}  # changed endpoints still to be applied, by id
         self._next_slice: asyncio.Handle | None = None
         self._resync_timer: asyncio.TimerHandle | None = None
         self._start_times = ServerStartTimes()
@@ -83,7 +85,7 @@
         with suppress(TimeoutError):
             await asyncio.wait_for(self._is_synced.wait(), discovery_watch.FIRST_DATA_TIMEOUT_S)
 
-    # Callbacks of the discovery client.
+    # Callbacks that the discovery client calls with updates and with the end of a watch.
 
     def on_update(self, update: DiscoveryUpdate) -> None:
         """Apply an update from discovery, at once or in slices."""
@@ -103,13 +105,13 @@
             self._loop.call_later(self._backoff.next_delay_seconds(), self.discovery.watch)
             return
         if self._pending:
-            # All pending endpoints are applied before the failure is reported: the policy would interpret an
-            # update after the failure as a sign that a watch is open.
+            # All pending endpoints are applied before the end of the watch is reported: the policy would
+            # interpret an update after the report as a sign that a watch is open.
             self._apply_entries(EndpointUpdateKind.DELTA, list(self._pending.values()))
             self._pending.clear()
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.FAILED, ()))
 
-    # Methods that apply updates.
+    # Methods that apply updates to the endpoint list, the policy and the connection pools.
 
     def resync_later(self) -> None:
         """Schedule a resync after `RESYNC_DELAY_S`, because the policy has failed on an update."""
@@ -117,10 +119,10 @@
             self._resync_timer = self._loop.call_later(RESYNC_DELAY_S, self._resync_policy)
 
     def _resync_policy(self) -> None:
-        """Send the complete known list to the policy."""
+        """Send all known endpoints to the policy."""
         self._resync_timer = None
         endpoints = tuple(self._to_policy_endpoint(endpoint) for endpoint in self._known.values())
-        # The list is not sent as a snapshot, which states that discovery has just sent an update.
+        # The known endpoints are not sent as a snapshot, which would mean that discovery has just sent them.
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
 
     def _apply_update(self, kind: EndpointUpdateKind, endpoints: tuple[DiscoveredEndpoint, ...]) -> None:
@@ -136,7 +138,7 @@
         elif self._pending:
             for entry_id in latest:
                 self._pending.pop(entry_id, None)
-        # The cached list needs no slices, because it is applied before requests are accepted.
+        # The cached list is applied before requests are accepted, so it is not divided into slices.
         if len(latest) <= SLICE_ENDPOINT_COUNT or kind is EndpointUpdateKind.CACHED:
             self._apply_entries(kind, list(latest.values()), absent)
         else:
@@ -159,7 +161,7 @@
         are applied in slices.
         """
         changed = [endpoint for endpoint in latest.values() if self._known.get(endpoint.id) != endpoint]
-        # Known endpoints are applied first: they are in use, and a restarted one is in slow start.
+        # Known endpoints are applied before new ones: they are in use, and a restarted one is in slow start.
         changed.sort(key=lambda endpoint: endpoint.id not in self._known)
         leaving = [endpoint for endpoint in changed if endpoint.state is not EndpointState.READY]
         self._pending.update(
@@ -172,7 +174,8 @@
     def _apply_next_slice(self) -> None:
         """Apply a slice of the pending entries, and schedule the next one in another loop iteration."""
         entry_ids = list(islice(self._pending, SLICE_ENDPOINT_COUNT))
-        if entry_ids:  # empty if a later update has replaced all pending entries
+        # A later update may have replaced all endpoints that were pending when this slice was scheduled.
+        if entry_ids:
             self._apply_entries(
                 EndpointUpdateKind.DELTA, [self._pending.pop(entry_id) for entry_id in entry_ids]
             )
@@ -208,17 +211,20 @@
                 )
             else:
                 retired_ids.append(endpoint_of_policy.id)
-        # The event precedes the retirement of pools, which ends attempts that the policy may retry at once.
+        # The policy is notified before pools are retired, because retiring a pool ends attempts that the
+        # policy may retry at once.
         self._dispatch_event(api.EndpointUpdate(kind, endpoints))
         for endpoint_id in retired_ids:
             self._pools.retire_endpoint(endpoint_id)
-        if not self._pending:  # new servers that are pending are not in `_known` yet
+        # The start times of new servers that are still pending must be kept; `_known` lacks these servers.
+        if not self._pending:
             self._start_times.forget_removed(self._known)
 
     def _to_policy_endpoint(self, endpoint: DiscoveredEndpoint) -> api.Endpoint:
-        """Return an entry in the form of the policy: with a hashed id, and indices in place of names.
+        """Return an endpoint in the form of the policy: with a hashed id, and indices in place of names.
 
-        All names of zones that are not configured share one index, as do those of hardware types.
+        All zones that are not configured share one index. All hardware types that are not configured share
+        one index of hardware types.
         """
         zones, hardware_types = self._zone_indices, self._hardware_type_indices
         return api.Endpoint(
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -1,18 +1,18 @@
 """Start times of servers on the node's monotonic clock.
 
-The endpoint list gives each start time as a Unix time. It was read from a wall clock, which may be wrong or
-may be stepped while the node runs. Start times are therefore translated as follows:
+The endpoint list gives each start time as a Unix time. The Unix time was read from a wall clock, which may be
+wrong or may be stepped while the node runs. `ServerStartTimes` therefore translates start times as follows:
 
 - The initial list (the list in the configuration and the first update) contains starts that the node did not
-  observe. The newest of them is assumed to have happened now, and each other start is earlier by the
-  difference of their Unix times. The node's own wall clock is not used. The resulting error: servers appear
+  observe. The newest of these starts is assumed to have happened now, and each other start is earlier by the
+  difference of the Unix times. The node's own wall clock is not used. The resulting error: servers appear
   younger than they are, by at most the age of the newest server, for at most one slow start duration. A
-  server whose clock was slow when it started appears older by that amount.
+  server whose clock was slow when the server started appears older by the error of its clock.
 - A start that is reported later, for a new server or as a changed Unix time, is assumed to have happened when
   the update arrives. The resulting error: the server appears younger than it is, by the delay of the update.
 
-An error that makes a server appear younger applies slow start to a warm server, which costs capacity. It is
-preferred to the opposite error, which would overload a server in slow start.
+An error that makes a server appear younger applies slow start to a warm server, which costs capacity. This
+error is preferred to the opposite one, which would overload a server in slow start.
 """
 
 from __future__ import annotations
@@ -24,14 +24,16 @@
 from moleport.policy.interface import EndpointState
 from moleport.units import NS_PER_MS
 
-FORGET_THRESHOLD_SERVERS = 1024  # see `forget_removed`; a server that was removed may return
+# Number of recorded starts, beyond twice the listed servers, above which `forget_removed` drops some.
+# The starts of removed servers are kept because a removed server may return.
+FORGET_THRESHOLD_SERVERS = 1024
 
 
 class RecordedStart(NamedTuple):
-    """The latest start of one server, in the time of the endpoint list and in that of the node."""
+    """The latest start of one server, as a Unix time and on the node's monotonic clock."""
 
-    reported_ms: int  # Unix time in the endpoint list, in ms
-    started_at_ns: int  # time on the monotonic clock, in ns
+    reported_ms: int  # Unix time of the start in the endpoint list, in ms
+    started_at_ns: int  # time of the start on the node's monotonic clock, in ns
 
 
 class ServerStartTimes:
@@ -39,12 +41,13 @@
 
     def __init__(self) -> None:
         """Treat starts as those of the initial list until `end_initial_list` is called."""
-        self._starts: dict[str, RecordedStart] = {}  # by endpoint id; the most recently recorded is last
+        # Latest start of each server, by endpoint id; the most recently recorded start is last.
+        self._starts: dict[str, RecordedStart] = {}
         self._is_initial_list = True
         self._newest_reported_ms = 0
 
     def record(self, endpoints: Iterable[DiscoveredEndpoint], now_ns: int) -> None:
-        """Record the starts of an update that arrived at `now_ns`, in monotonic ns."""
+        """Record the server starts in an update that arrived at `now_ns`, in monotonic ns."""
         started = [
             endpoint
             for endpoint in endpoints
@@ -71,18 +74,18 @@
         self._is_initial_list = False
 
     def started_at_ns(self, endpoint: DiscoveredEndpoint) -> int:
-        """Return the recorded start in monotonic ns, or 0 (long ago) if the list does not state it."""
+        """Return the start of a server in monotonic ns, or 0 (long ago) if the endpoint list has none."""
         recorded = self._starts.get(endpoint.id)
         if recorded is None or not endpoint.started_ms:
             return 0
         return recorded.started_at_ns or 1
 
     def forget_removed(self, listed: Collection[str]) -> None:
-        """Forget the starts of removed servers, the earliest recorded first, if there are too many.
+        """Forget the starts of removed servers, the earliest recorded first, if too many starts are recorded.
 
-        `listed` contains the ids of the servers that are not removed. There are too many if the number of
-        recorded servers exceeds twice that of the listed servers by more than `FORGET_THRESHOLD_SERVERS`.
-        As many removed servers as there are listed ones are then kept.
+        `listed` contains the ids of the servers that are not removed. Too many starts are recorded if their
+        number exceeds twice that of the listed servers by more than `FORGET_THRESHOLD_SERVERS`. The starts
+        of as many removed servers as there are listed ones are then kept.
         """
         if len(self._starts) <= 2 * len(listed) + FORGET_THRESHOLD_SERVERS:
             return
