--- a/moleport/node/consistency_check.py
+++ b/moleport/node/consistency_check.py
@@ -17,7 +17,8 @@
 from moleport.units import NS_PER_MS
 
 CHECK_PERIOD_SECONDS = 1.0
-MAX_OVERDUE_NS = 500 * NS_PER_MS  # a request or attempt is reported if active for longer after its deadline
+# Time after its deadline from which a request or an attempt that is still active is reported.
+MAX_OVERDUE_NS = 500 * NS_PER_MS
 
 
 class ConsistencyCheck:
@@ -38,17 +39,21 @@
         self._policy_attempt_count = policy_attempt_count
         self._hold_detector = hold_detector
         self._telemetry = telemetry
-        self._reported_overdue: set[tuple[int, int | None]] = set()  # (request number, attempt index or None)
-        self._excess_count = 0  # policy's count of attempts minus the node's, at the last check
+        # Requests and attempts that were overdue at the last check, and have been reported.
+        # Each is a pair of the request number and the attempt index, which is None for the request itself.
+        self._reported_overdue: set[tuple[int, int | None]] = set()
+        # Attempts in flight by the policy's count minus those by the node's count, at the last check.
+        self._excess_count = 0
 
     def start(self) -> None:
         """Schedule the next check on the running event loop."""
         asyncio.get_running_loop().call_later(CHECK_PERIOD_SECONDS, self._on_timer)
 
     def _on_timer(self) -> None:
-        """Schedule the next check, and check unless a hold has just ended."""
+        """Schedule the next check, and check the state of the node now unless a hold has just ended."""
         self.start()
-        if not self._hold_detector.is_settling():  # timers that were due in a hold may not have run yet
+        # Just after a hold, timers that end requests and attempts may be due but not have run yet.
+        if not self._hold_detector.is_settling():
             self.check()
 
     def check(self) -> None:
--- a/moleport/node/error_codes.py
+++ b/moleport/node/error_codes.py
@@ -13,10 +13,10 @@
 class Fault(Enum):
     """The party at fault for an error, which determines how the error is handled."""
 
-    DESCRIPTORS = "descriptors"  # no descriptor is free: close an idle connection and retry the same peer
-    MACHINE = "machine"  # a transient fault of this machine: retry the same peer, which is not at fault
-    PATH = "path"  # no route to the peer: a fault of the peer, unless other peers are unreachable too
-    PEER = "peer"  # a fault of the peer: use another one
+    DESCRIPTORS = "descriptors"  # no free file descriptor: close an idle connection and retry the same peer
+    MACHINE = "machine"  # transient fault of this machine: retry the same peer, which is not at fault
+    PATH = "path"  # no route to the peer: the peer is at fault, unless others are unreachable too
+    PEER = "peer"  # fault of the peer: use another peer
 
 
 FAULT_BY_ERRNO = {
@@ -24,11 +24,11 @@
     errno.ENFILE: Fault.DESCRIPTORS,
     errno.ENOBUFS: Fault.MACHINE,
     errno.ENOMEM: Fault.MACHINE,
-    errno.EADDRNOTAVAIL: Fault.MACHINE,  # no local port is free
+    errno.EADDRNOTAVAIL: Fault.MACHINE,  # EADDRNOTAVAIL: no local port is free
     errno.EADDRINUSE: Fault.MACHINE,
-    errno.EAGAIN: Fault.MACHINE,  # from connect(2): no entry in the routing cache, or no local port is free
+    errno.EAGAIN: Fault.MACHINE,  # EAGAIN of connect(2): no entry in the routing cache, or no free local port
     errno.EINTR: Fault.MACHINE,
-    errno.EPERM: Fault.MACHINE,  # rejected by a local packet filter
+    errno.EPERM: Fault.MACHINE,  # EPERM: a local packet filter has rejected the connection
     errno.EACCES: Fault.MACHINE,
     errno.ENETDOWN: Fault.MACHINE,
     errno.ENETUNREACH: Fault.PATH,
@@ -45,7 +45,7 @@
 
 
 def fault_of(error: BaseException | None) -> Fault:
-    """Return the party at fault, which is the peer without an error or for an unknown error number."""
+    """Return the party at fault for an error: the peer, if there is no error or its number is unknown."""
     number = error.errno if isinstance(error, OSError) else None
     if number is None:
         return Fault.PEER
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -17,25 +17,27 @@
 from moleport.telemetry import Event, Telemetry
 from moleport.units import NS_PER_MS, NS_PER_SECOND
 
-HEARTBEAT_PERIOD_NS = 20 * NS_PER_MS  # also the delay above which a heartbeat adds to the sum of holds
-MIN_HOLD_NS = 100 * NS_PER_MS  # longer than the delay of a heartbeat in a busy event loop
-SETTLE_DELAY_S = 0.001  # from a delayed heartbeat until the loop has read its sockets once
+# Period of the heartbeat, and the delay of a heartbeat above which the delay is added to the sum of holds.
+HEARTBEAT_PERIOD_NS = 20 * NS_PER_MS
+# Delay of a heartbeat from which a hold is reported; delays in an event loop that is only busy are shorter.
+MIN_HOLD_NS = 100 * NS_PER_MS
+SETTLE_DELAY_S = 0.001  # time in which the event loop reads its sockets once after a delayed heartbeat
 
 
 class HoldDetector:
     """Measures holds of the event loop by the delay of a periodic timer, the heartbeat."""
 
     def __init__(self, telemetry: Telemetry) -> None:
-        """Use the running event loop; holds are detected once `start` is called."""
+        """Create a detector of holds of the running event loop; `start` begins the detection."""
         self._telemetry = telemetry
         self._loop = asyncio.get_running_loop()
-        self._ended_holds_ns = 0  # sum of all holds that have ended
+        self._ended_holds_ns = 0  # sum of the lengths of all holds that have ended
         self._last_heartbeat_ns = monotonic_ns()
-        # Start of the last hold, in monotonic ns; None if no data that arrived in a hold may be unread.
+        # Start, in monotonic ns, of the earliest hold whose data may still be unread; None if there is none.
         self._hold_began_ns: int | None = None
 
     def start(self) -> None:
-        """Schedule the heartbeat on the event loop."""
+        """Schedule the next heartbeat on the event loop."""
         self._last_heartbeat_ns = monotonic_ns()
         self._loop.call_later(HEARTBEAT_PERIOD_NS / NS_PER_SECOND, self._on_heartbeat)
 
@@ -51,11 +53,11 @@
         self.start()
 
     def _on_settled(self) -> None:
-        """Record that the loop has read the data that arrived in the hold."""
+        """Record that the event loop has read the data that arrived in the last hold."""
         self._hold_began_ns = None
 
     def _heartbeat_delay_ns(self) -> int:
-        """Return the delay of the next heartbeat in ns, which is negative if it is not due yet."""
+        """Return the delay of the next heartbeat in ns; negative if the heartbeat is not due yet."""
         return monotonic_ns() - self._last_heartbeat_ns - HEARTBEAT_PERIOD_NS
 
     def total_hold_ns(self) -> int:
@@ -72,8 +74,8 @@
     def earliest_arrival(self) -> int:
         """Return the earliest time, in monotonic ns, at which data that is read now may have arrived.
 
-        It is exact to within `MIN_HOLD_NS` plus `HEARTBEAT_PERIOD_NS`: a hold that delays the heartbeat by
-        less than `MIN_HOLD_NS` is not considered, and it may begin right after a heartbeat.
+        The returned time is exact to within `MIN_HOLD_NS` plus `HEARTBEAT_PERIOD_NS`: a hold that delays the
+        heartbeat by less than `MIN_HOLD_NS` is not considered, and may begin right after a heartbeat.
         """
         if self._hold_began_ns is not None:
             return self._hold_began_ns
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -1,9 +1,9 @@
-"""Invariants of the platform, and the check of those that concern the write of a request to a server.
+"""Invariants of the node, and the check of the invariants that concern writing a request to a server.
 
 A client gets one response. A request that must not be repeated is not executed twice. No request is sent to a
-server that is draining or removed, or for a client that has disconnected. The checks are independent of the
-code that enforces these rules. A violation is counted and logged, and does not change how the request is
-handled.
+server that is draining or removed, or for a client that has disconnected. The checks of these invariants are
+independent of the code that enforces them. A violation is counted and logged, and does not change how the
+request is handled.
 """
 
 from __future__ import annotations
@@ -15,8 +15,10 @@
 from moleport.policy.interface import Idempotency
 from moleport.units import NS_PER_MS
 
-MAX_DISCONNECT_LATENCY_NS = 100 * NS_PER_MS  # time after a disconnect in which an attempt may still begin
-DEADLINE_TOLERANCE_NS = 150 * NS_PER_MS  # by which a stated timeout may exceed the time left to the client
+# Time after a client's disconnect is detected in which its request may still be written to a server.
+MAX_DISCONNECT_LATENCY_NS = 100 * NS_PER_MS
+# Time by which the timeout stated to a server may exceed the time left until the client's deadline.
+DEADLINE_TOLERANCE_NS = 150 * NS_PER_MS
 
 
 class Invariant(StrEnum):
@@ -29,30 +31,33 @@
     CLIENT_CONNECTED = "client_connected"
     ENDPOINT_AVAILABLE = "endpoint_available"
     DEADLINE_NOT_EXTENDED = "deadline_not_extended"
-    RESULT_MATCHES_WRITE = "result_matches_write"  # no attempt ends as not executed once it is written
-    ENDED_IN_TIME = "ended_in_time"  # checked by consistency_check.py, as is ATTEMPTS_AGREE
+    RESULT_MATCHES_WRITE = "result_matches_write"  # no attempt ends as unsent after its request is written
+    ENDED_IN_TIME = "ended_in_time"  # consistency_check.py checks ENDED_IN_TIME and ATTEMPTS_AGREE
     ATTEMPTS_AGREE = "attempts_agree"
 
 
 class RequestWrite(NamedTuple):
-    """The state of a request and one of its attempts when the attempt is written. Durations are in ns."""
+    """The state of a request and one of its attempts when the request is written. Durations are in ns."""
 
     idempotency: Idempotency
-    deduplication_window_ns: int  # time for which servers drop a repeated idempotency key
-    attempt_index: int  # position among the attempts of the request, from 0
+    deduplication_window_ns: int  # time for which servers drop requests with a repeated idempotency key
+    attempt_index: int  # position of the attempt among those of its request, from 0
     max_attempts: int
-    other_attempt_count: int  # other attempts of the same request that are in flight
+    other_attempt_count: int  # number of other attempts of the request that have not ended
     is_answered: bool  # whether the final response has been sent to the client
-    since_execution_ns: int | None  # time since the first attempt that may have been executed, if any
-    since_client_disconnect_ns: int | None  # time since the node detected it; None if connected
-    since_endpoint_removal_ns: int | None  # time since the node learned of its drain or removal, if any
-    drain_grace_ns: int  # time after a drain or removal in which a request may still be written
-    timeout_ns: int  # remaining time that the request states to the server
+    # Time since the first attempt of the request that may have been executed; None without such an attempt.
+    since_execution_ns: int | None
+    # Time since the node detected the client's disconnect; None if the client is connected.
+    since_client_disconnect_ns: int | None
+    # Time since the node learned of the server's drain, removal, move or restart; None without one.
+    since_endpoint_removal_ns: int | None
+    drain_grace_ns: int  # time after a server's drain or removal in which requests may still be written
+    timeout_ns: int  # remaining time that the request states to the server in X-Deadline
     remaining_ns: int  # time until the client's deadline
 
 
 def violated_invariants(write: RequestWrite) -> Iterator[Invariant]:
-    """Yield each invariant that the write of an attempt violates."""
+    """Yield each invariant that writing the request of an attempt violates."""
     if write.is_answered:
         yield Invariant.NOT_ANSWERED
     if write.attempt_index >= write.max_attempts:
--- a/moleport/node/kernel_socket.py
+++ b/moleport/node/kernel_socket.py
@@ -8,7 +8,8 @@
 
 from moleport.units import NS_PER_MS
 
-TCPI_LAST_DATA_RECV = slice(52, 56)  # bytes of tcpi_last_data_recv in struct tcp_info: a u32, in ms
+# Position of the field tcpi_last_data_recv, a u32 in ms, in the bytes of Linux's struct tcp_info.
+TCPI_LAST_DATA_RECV = slice(52, 56)
 
 
 def is_readable(descriptor: int) -> bool:
@@ -22,16 +23,16 @@
 
 
 def _has_event(descriptor: int, events: int) -> bool:
-    """Return whether one of the poll(2) events is pending; errors and hang-ups are always included."""
+    """Return whether one of the poll(2) `events`, an error or a hang-up is pending on a descriptor."""
     poll = select.poll()
     poll.register(descriptor, events)
     return bool(poll.poll(0))
 
 
 def last_data_age_ns(tcp_socket: socket.socket) -> int | None:
-    """Return the time since data last arrived, in ns, or None if the kernel does not provide it.
+    """Return the time since data last arrived on a TCP socket, in ns, or None if the kernel has no figure.
 
-    Source: `tcpi_last_data_recv` of `TCP_INFO`, see tcp(7).
+    The figure is `tcpi_last_data_recv` of the socket option `TCP_INFO`, see tcp(7).
     """
     try:
         info = tcp_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCPI_LAST_DATA_RECV.stop)
