--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -76,7 +76,7 @@
     def on_attempt_ended(
         self, attempt: Attempt, result: AttemptResult, response: ServerResponse | None
     ) -> None:
-        """Handle the result of an attempt; called exactly once for each attempt."""
+        """Handle the result of an attempt; each attempt calls this method exactly once."""
 
 
 class Attempt:
@@ -179,7 +179,7 @@
             self.end(AttemptResult.NOT_SENT)
 
     def end(self, result: AttemptResult, response: ServerResponse | None = None) -> None:
-        """Release timers and connections, and report the result to the owner.
+        """Release the attempt's timers and connections, and report the result of the attempt to its owner.
 
         Only the first call has an effect. A result of `UNSENT_RESULTS` is reported as CANCELLED if the
         request is completely written.
@@ -200,7 +200,7 @@
             self._owner.on_attempt_ended(self, result, response)
 
     def _release_connections(self) -> None:
-        """Cancel connecting, return an unused connection to the pool, and release the one in use."""
+        """Cancel connecting, return an unused connection to the pool, and release a connection in use."""
         if self._connect_task is not None:
             self._connect_task.cancel()
         new_connection, self._new_connection = self._new_connection, None
@@ -211,7 +211,10 @@
             connection.release(self)
 
     def _set_state(self, state: AttemptState) -> None:
-        """Change the state; `ConnectionPool.unsent` holds the attempt unless it is in flight or has ended."""
+        """Change the state of the attempt, and update `ConnectionPool.unsent` accordingly.
+
+        `ConnectionPool.unsent` holds a started attempt unless the attempt is in flight or has ended.
+        """
         self._state = state
         if state is AttemptState.IN_FLIGHT or state is AttemptState.ENDED:
             self.pool.unsent.pop(self, None)
@@ -221,7 +224,7 @@
     # Methods with which an attempt obtains a connection to its server.
 
     def _acquire_connection(self) -> None:
-        """Write the request to an idle connection or open a new one, if the owner permits it.
+        """Write the request to an idle connection or open a new connection, if the owner gives permission.
 
         Connecting needs permission like writing, because a connection uses resources of the server and the
         client may have disconnected.
--- a/moleport/node/consistency_check.py
+++ b/moleport/node/consistency_check.py
@@ -1,7 +1,7 @@
 """Checks every second that the state of the node is consistent.
 
 No request and no attempt may be active after its deadline, and the policy must count as many attempts in
-flight as the node. A violation is counted and logged; it is not repaired.
+flight as the node. A violation is counted and logged, and not repaired.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
         hold_detector: HoldDetector,
         telemetry: Telemetry,
     ) -> None:
-        """Prepare a check of `active_requests`, by request number; `start` schedules it.
+        """Create a consistency check of `active_requests`, by request number; `start` schedules the check.
 
         `policy_attempt_count` returns the number of attempts that the policy counts as in flight.
         """
@@ -40,13 +40,13 @@
         self._hold_detector = hold_detector
         self._telemetry = telemetry
         # Requests and attempts that were overdue at the last check, and have been reported.
-        # Each is a pair of the request number and the attempt index, which is None for the request itself.
+        # An entry is the request number and the attempt index, which is None for the request itself.
         self._reported_overdue: set[tuple[int, int | None]] = set()
         # Attempts in flight by the policy's count minus those by the node's count, at the last check.
         self._excess_count = 0
 
     def start(self) -> None:
-        """Schedule the next check on the running event loop."""
+        """Schedule the next consistency check on the running event loop."""
         asyncio.get_running_loop().call_later(CHECK_PERIOD_SECONDS, self._on_timer)
 
     def _on_timer(self) -> None:
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -95,7 +95,7 @@
         self.watch()
 
     def close(self) -> None:
-        """Close the watch without a report, and discard an update that is not completely parsed."""
+        """Close the watch without reporting its end, and discard an update that is not completely parsed."""
         watch = self._watch
         self._watch = None
         self._partial_update = None
@@ -156,12 +156,12 @@
             self._loop.call_soon(self._continue_parsing, update)
 
     def finish_parsing(self) -> None:
-        """Parse the rest of the current update at once, so that it is reported before any later event."""
+        """Parse the rest of the current update at once, so that later events are reported after it."""
         while self._partial_update is not None:
             self._parse_slice()
 
     def _parse_slice(self) -> None:
-        """Parse the next entries of the current update, and report the update if they are the last."""
+        """Parse the next entries of the current update, and report the update after its last entry."""
         update = self._partial_update
         assert update is not None
         begin = len(update.endpoints)
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -80,7 +80,7 @@
         """Wait until an update is applied, the watch has failed or `FIRST_DATA_TIMEOUT_S` has passed.
 
         The endpoints of the configuration may be older than the list of discovery. The empty lines that
-        discovery sends while nothing changes do not end the wait. In poll mode this returns at once.
+        discovery sends while nothing changes do not end the wait. In poll mode there is no wait.
         """
         with suppress(TimeoutError):
             await asyncio.wait_for(self._is_synced.wait(), discovery_watch.FIRST_DATA_TIMEOUT_S)
@@ -114,7 +114,7 @@
     # Methods that apply updates to the endpoint list, the policy and the connection pools.
 
     def resync_later(self) -> None:
-        """Schedule a resync after `RESYNC_DELAY_S`, because the policy has failed on an update."""
+        """Schedule a resync of the policy after `RESYNC_DELAY_S`, because it has failed on an update."""
         if self._resync_timer is None:
             self._resync_timer = self._loop.call_later(RESYNC_DELAY_S, self._resync_policy)
 
@@ -193,7 +193,7 @@
     ) -> None:
         """Notify the policy of endpoints, and update the known list and the pools accordingly.
 
-        `absent` are known endpoints that a snapshot does not list. They are not part of the event, because
+        `absent` are known endpoints that a snapshot does not list. The event does not contain them, because
         the policy compares the snapshot with its own list.
         """
         endpoints = tuple(self._to_policy_endpoint(endpoint) for endpoint in discovered)
