--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -145,9 +145,8 @@
         self.effective_start_ns = effective_start_ns
         self.expires_at_ns = expires_at_ns
         self.write_deadline_ns = write_deadline_ns
-        self.written_at_ns = (
-            0  # time of the request's write in monotonic ns, set by the owner; 0 before the write
-        )
+        # Time of the request's write in monotonic ns, set by the owner; 0 before the write.
+        self.written_at_ns = 0
         self._head = head
         self._body = body
         self._owner = owner
