--- a/moleport/__main__.py
+++ b/moleport/__main__.py
@@ -5,10 +5,11 @@
 import gc
 import signal
 
-gc.disable()  # until the node is ready, as imports and configuration create almost no garbage
+# The garbage collector is off until the node is ready: imports and configuration create almost no garbage.
+gc.disable()
 
 early_sighups: list[int] = []
-"""SIGHUP signals that arrived before the event loop handled them; by default they would end the process."""
+"""SIGHUP signals that arrived before the event loop handled SIGHUP, which by default ends the process."""
 
 if __name__ == "__main__":
     signal.signal(signal.SIGHUP, lambda signal_number, _frame: early_sighups.append(signal_number))
@@ -44,18 +45,23 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.on_signal)
     dispatcher.start()
     if early_sighups:
-        reloader.on_signal()  # the configuration file may have changed since the process read it
+        # The configuration file may have changed between its first read and a SIGHUP during the start.
+        reloader.on_signal()
     await _wait_for_first(dispatcher.wait_until_endpoints_known(), stop_requested.wait())
-    if stop_requested.is_set():  # the node has accepted no clients yet, so there are no requests to complete
+    if stop_requested.is_set():
+        # The node has accepted no clients yet, so there are no requests to complete.
         dispatcher.telemetry.report()
         _ignore_reloads(loop)
         return 0
     try:
         address = listener.listen()
     except OSError as error:
-        print(f"moleport: BALANCER_LISTEN: cannot listen on the address: {error.strerror}", file=sys.stderr)
+        print(
+            f"moleport: BALANCER_LISTEN: cannot listen on the address for clients: {error.strerror}",
+            file=sys.stderr,
+        )
         return INVALID_CONFIG_EXIT_CODE
-    # The objects that exist now live as long as the process, so the garbage collector need not visit them.
+    # Objects from the start of the process live until its end, so the garbage collector need not visit them.
     gc.freeze()
     gc.enable()
     log.info("serving on %s:%d", *address)
@@ -68,7 +74,7 @@
 
 
 def _ignore_reloads(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore SIGHUP from now on: without this, a SIGHUP after the event loop closes would end the process."""
+    """Ignore SIGHUP until the process ends: by default, a SIGHUP after the event loop closes would end it."""
     loop.remove_signal_handler(signal.SIGHUP)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/moleport/adapter/__main__.py
+++ b/moleport/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the adapter: reads frames from standard input and writes its replies to standard output."""
+"""Runs the adapter: reads frames from standard input and writes a reply to each on standard output."""
 
 from __future__ import annotations
 
--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -2,11 +2,11 @@
 
 All numbers are little-endian, without padding between them.
 
-An input frame consists of its length (u32, the number of bytes after this field), the clock (u64, ns), the
-record count (u32) and the records. An output frame consists of its length (u32, as before), the action count
-(u32) and the actions.
+An input frame consists of its length (u32, the number of bytes after this field), the simulator's clock time
+(u64, in ns), the record count (u32) and the records. An output frame consists of its length (u32, the number
+of bytes after this field), the action count (u32) and the actions.
 
-A SELECT record names the instance that the records after it in the same frame are for.
+A SELECT record names the instance that the following records of its frame are for.
 
 A record consists of its code (u8) and its fixed fields. For some codes, a content of several items follows,
 whose count is the last fixed field. `_RECORD_FORMATS` (input) and `_ACTION_LAYOUTS` (output) define the
@@ -45,7 +45,7 @@
     """The decoded content of one input frame."""
 
     clock_ns: int
-    """Time of the simulator's clock at which the records occurred."""
+    """Simulator's clock time at which the records of the frame occurred."""
     records: list[Record]
 
 
@@ -54,22 +54,25 @@
 _LENGTH = struct.Struct("<I")
 _BATCH_HEADER = struct.Struct("<QI")
 _REPLY_HEADER = struct.Struct("<II")
-_LIST_ENTRY = struct.Struct("<6sBHHBfQ")  # the fields of `ListEntry`, in order
+# layout of a list entry in a ROSTER record, in the order of the fields of `ListEntry`
+_LIST_ENTRY = struct.Struct("<6sBHHBfQ")
 _FLOAT_BYTES = 4
 _ACTION_COUNT_BYTES = 4
-_MAX_TEXT_BYTES = 60_000  # the length field of a text allows 65_535
+# number of bytes to which text in an output record is truncated; the length field of a text allows 65_535
+_MAX_TEXT_BYTES = 60_000
 
-# Each layout begins with the action code; the comment lists the fields after it.
+# Layouts of output records, by action code. The first field of each layout is the action code.
 _ACTION_LAYOUTS = {
-    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # request id, endpoint id, timeout in ns
-    ActionCode.BUSY: struct.Struct("<BQQ"),  # request id, Retry-After in ns
-    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),  # request id
-    ActionCode.WAKE_AT: struct.Struct("<BQI"),  # clock time in ns, timer id
-    ActionCode.HANG_UP: struct.Struct("<B6s"),  # endpoint id
-    ActionCode.LISTEN: struct.Struct("<BB"),  # always 1
-    ActionCode.SOURCE: struct.Struct("<BH"),  # instance number
+    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # fields of FORWARD: request id, endpoint id, timeout in ns
+    ActionCode.BUSY: struct.Struct("<BQQ"),  # fields of BUSY: request id, value of Retry-After in ns
+    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),  # field of REPORT_FAILURE: request id
+    ActionCode.WAKE_AT: struct.Struct("<BQI"),  # fields of WAKE_AT: clock time of the timer in ns, timer id
+    ActionCode.HANG_UP: struct.Struct("<B6s"),  # field of HANG_UP: endpoint id
+    ActionCode.LISTEN: struct.Struct("<BB"),  # field of LISTEN: always 1
+    ActionCode.SOURCE: struct.Struct("<BH"),  # field of SOURCE: instance number
 }
-_TEXT_HEADER = struct.Struct("<BH")  # action code, length in bytes of the text after this header
+# header of an output record with text: action code, number of bytes of the text that follows
+_TEXT_HEADER = struct.Struct("<BH")
 
 
 def _read_bytes(frame: bytes, start: int, end: int) -> bytes:
@@ -87,19 +90,19 @@
 
 
 class _RecordFormat(NamedTuple):
-    """Layout of a record after its code, and the type of the decoded record."""
+    """Layout of the fields after a record's code, and the type of the decoded record."""
 
     fixed_fields: struct.Struct
     record_type: Callable[..., Record]
-    """Creates the record from its fixed fields, without the item count, and its content."""
+    """Creates the decoded record from its fixed fields, without the item count, and its content."""
     item_bytes: int = 0
-    """Size of one item of the content; 0 if the record has no content."""
+    """Size of one item of the record's content; 0 if the record has no content."""
     read_content: Callable[[bytes, int, int], Content] = _read_bytes
-    """Decodes the content, which has these start and end positions in the frame."""
+    """Decodes the record's content from a frame and the content's start and end positions in the frame."""
 
 
 def _ignore(code: EventCode, layout: str, item_bytes: int = 0) -> _RecordFormat:
-    """Return the format of a record that is decoded to an `IgnoredRecord`, without its fields."""
+    """Return the format of a record whose fields are discarded: it is decoded to an `IgnoredRecord`."""
     record = IgnoredRecord(code)
     return _RecordFormat(struct.Struct(layout), lambda *_fields: record, item_bytes)
 
@@ -142,7 +145,7 @@
 
 
 def decode_batch(frame: bytes) -> Batch:
-    """Decode an input frame, which is passed without its length field; raises WireError."""
+    """Decode an input frame, given without its length field; raises WireError."""
     if len(frame) < _BATCH_HEADER.size:
         raise WireError(f"malformed frame: {len(frame)} bytes are too few for the frame header")
     clock_ns, record_count = _BATCH_HEADER.unpack_from(frame)
@@ -179,17 +182,17 @@
 
 
 def encode_action(code: ActionCode, *fields: int | bytes) -> bytes:
-    """Encode an action with a fixed layout; `fields` are those after the action code."""
+    """Encode an action with a fixed layout; `fields` are the fields after the action code."""
     return _ACTION_LAYOUTS[code].pack(code, *fields)
 
 
 def encode_text(code: ActionCode, text: str) -> bytes:
-    """Encode an action that carries text, of which it keeps the first `_MAX_TEXT_BYTES` bytes of UTF-8."""
+    """Encode an action that contains text in UTF-8, truncated to `_MAX_TEXT_BYTES` bytes."""
     data = text.encode("utf-8", "replace")[:_MAX_TEXT_BYTES]
     return _TEXT_HEADER.pack(code, len(data)) + data
 
 
 def encode_reply(actions: list[bytes]) -> bytes:
-    """Return the complete output frame, with its length field, for encoded actions."""
+    """Return the output frame, with its length field, that contains the encoded actions."""
     body = b"".join(actions)
     return _REPLY_HEADER.pack(_ACTION_COUNT_BYTES + len(body), len(actions)) + body
--- a/moleport/adapter/records.py
+++ b/moleport/adapter/records.py
@@ -1,8 +1,8 @@
 """The input records of the simulator's protocol as typed messages, and the codes of records and actions.
 
-The codes have the names of the protocol; the messages have the names that this code uses. The fields of a
-message are in the order of its layout in a frame. Times and durations are in nanoseconds, on the simulator's
-clock.
+The codes of records have the names of the protocol; the messages have the names that this package uses. The
+fields of a message are in the order of its layout in a frame. Times and durations are in nanoseconds, on the
+simulator's clock.
 """
 
 from __future__ import annotations
@@ -12,57 +12,57 @@
 
 
 class EventCode(IntEnum):
-    """First byte of an input record; each code is documented by the message that the record becomes."""
+    """First byte of an input record, which determines the type of the decoded record."""
 
     SYNC = 0
-    """`EndpointUpdateRecord`"""
+    """Code of an input record that is decoded to an `EndpointUpdateRecord`."""
     ACK_FIRST = 1
-    """`IgnoredRecord`"""
+    """Code of an input record that is decoded to an `IgnoredRecord`."""
     SAMPLED = 2
-    """`IgnoredRecord`"""
+    """Code of an input record that is decoded to an `IgnoredRecord`."""
     SELECT = 3
-    """`SelectRecord`"""
+    """Code of an input record that is decoded to a `SelectRecord`."""
     CLIENT_GONE = 4
-    """`ClientDisconnectedRecord`"""
+    """Code of an input record that is decoded to a `ClientDisconnectedRecord`."""
     ATTACH = 5
-    """`AttachRecord`"""
+    """Code of an input record that is decoded to an `AttachRecord`."""
     MAIL = 6
-    """`IgnoredRecord`"""
+    """Code of an input record that is decoded to an `IgnoredRecord`."""
     INBOUND = 7
-    """`RequestRecord`"""
+    """Code of an input record that is decoded to a `RequestRecord`."""
     FINISHED = 8
-    """`AttemptOutcomeRecord`"""
+    """Code of an input record that is decoded to an `AttemptOutcomeRecord`."""
     DUE = 9
-    """`TimerFiredRecord`"""
+    """Code of an input record that is decoded to a `TimerFiredRecord`."""
     CRASH_NOW = 10
-    """`CrashRecord`"""
+    """Code of an input record that is decoded to a `CrashRecord`."""
     ROSTER = 11
-    """`EndpointListRecord`"""
+    """Code of an input record that is decoded to an `EndpointListRecord`."""
 
 
 class ActionCode(IntEnum):
-    """First byte of an output record; most codes are documented by the action that they encode."""
+    """First byte of an output record, which determines the layout of the record."""
 
     FORWARD = 64
-    """`Forward`"""
+    """Code of an output record that encodes a `Forward` action."""
     BUSY = 65
-    """`Reject`"""
+    """Code of an output record that encodes a `Reject` action."""
     REPORT_FAILURE = 66
-    """`Fail`"""
+    """Code of an output record that encodes a `Fail` action."""
     WAKE_AT = 68
-    """`SetTimer`"""
+    """Code of an output record that encodes a `SetTimer` action."""
     HANG_UP = 70
-    """`CloseIdleConnections`"""
+    """Code of an output record that encodes a `CloseIdleConnections` action."""
     FAULT = 73
-    """Reports an exception of the decision module; the record contains the traceback."""
+    """Code of an output record with the traceback of an exception of the decision module."""
     LISTEN = 74
-    """`WatchEndpoints`"""
+    """Code of an output record that encodes a `WatchEndpoints` action."""
     SOURCE = 76
-    """Names the instance that the actions after this record are from."""
+    """Code of an output record that names the instance whose actions follow."""
 
 
 class SelectRecord(NamedTuple):
-    """Selects the instance that the records after this one are for."""
+    """Selects the instance that the following records of a frame are for."""
 
     instance: int
     """Number of the instance."""
@@ -74,7 +74,7 @@
     seed: int
     """Seed of the instance's random numbers."""
     settings_text: bytes
-    """Settings as lines of the form path=value, in UTF-8."""
+    """Settings of the instance, as lines of the form path=value in UTF-8."""
 
 
 class CrashRecord(NamedTuple):
@@ -92,9 +92,9 @@
     cell: int
     """Number of the endpoint's cell."""
     state: int
-    """Number of an endpoint state; see `ENDPOINT_STATES` in `moleport.adapter.translation`."""
+    """Number of the endpoint's state in `ENDPOINT_STATES` of `moleport.adapter.translation`."""
     weight: float
-    """Relative capacity."""
+    """Relative capacity of the endpoint."""
     started_at_ns: int
     """Time of the endpoint's last start; 0 stands for a start long ago."""
 
@@ -112,9 +112,9 @@
     unused: int
     """Field that the adapter does not read."""
     kind: int
-    """Number of an update kind; see `UPDATE_KINDS` in `moleport.adapter.translation`."""
+    """Number of the update's kind in `UPDATE_KINDS` of `moleport.adapter.translation`."""
     list_number: int
-    """Number of the `EndpointListRecord` with the entries."""
+    """Number of the `EndpointListRecord` that contains the entries of the update."""
 
 
 class RequestRecord(NamedTuple):
@@ -127,11 +127,11 @@
     """Time for which the client will wait for the response."""
     tenant_index: int
     class_index: int
-    """Index of the request class in the settings."""
+    """Index of the request's class in the settings."""
     key: int
-    """Hash of the key of the request; 0 stands for none."""
+    """Hash of the request's key; 0 for a request without a key."""
     options: int
-    """Bit field; see `OPTION_CLIENT_RETRY`."""
+    """Bit field of the request's options, of which the adapter reads `OPTION_CLIENT_RETRY`."""
 
 
 class AttemptOutcomeRecord(NamedTuple):
@@ -139,16 +139,16 @@
 
     request_id: int
     is_answered: int
-    """Not 0 if the client has its final response."""
+    """Not 0 if the client of the request has its final response."""
     result: int
-    """Number of an attempt result; see `ATTEMPT_RESULTS` in `moleport.adapter.translation`."""
+    """Number of the attempt's result in `ATTEMPT_RESULTS` of `moleport.adapter.translation`."""
     elapsed_ns: int
     """Duration of the attempt."""
     endpoint_id: bytes
     attempt_index: int
-    """Index among the attempts for the request, from 0."""
+    """Index of the attempt among all attempts for its request, from 0."""
     load_report: tuple[float, ...]
-    """Figures of the endpoint's load report, in the order of the settings; empty if there was none."""
+    """Fields of the endpoint's load report, in the order of the settings; empty without a load report."""
 
 
 class ClientDisconnectedRecord(NamedTuple):
@@ -161,17 +161,17 @@
     """Reports that a timer of the selected instance has fired."""
 
     timer_id: int
-    """Number of the timer; those of the decision module are in `TimerId` of its interface."""
+    """Number of the timer; `TimerId` in the decision module's interface contains the known numbers."""
 
 
 class IgnoredRecord(NamedTuple):
-    """A record that the decision module does not use; the decoder skips its content."""
+    """A record that the decision module does not use; the decoder skips the record's fields and content."""
 
     code: EventCode
 
 
 OPTION_CLIENT_RETRY = 2
-"""Bit of `RequestRecord.options` that is set if the client has sent this request before."""
+"""Bit of `RequestRecord.options` that is set if the client has sent the request before."""
 
 Record = (
     SelectRecord
--- a/moleport/adapter/translation.py
+++ b/moleport/adapter/translation.py
@@ -1,4 +1,4 @@
-"""Translates the simulator's records to events of the decision module, and its actions to output records.
+"""Translates input records to events of the decision module, and the module's actions to output records.
 
 This module makes no decisions: the decision module alone determines the actions.
 """
@@ -34,7 +34,8 @@
 
 _T = TypeVar("_T")
 
-# Kind 1 is missing, as the decision module has no event for it: a record of this kind raises WireError.
+# Update kind 1 of the protocol is missing, as the decision module has no event for this kind.
+# A SYNC record with update kind 1 raises WireError.
 UPDATE_KINDS = {
     0: api.EndpointUpdateKind.CACHED,
     2: api.EndpointUpdateKind.DELTA,
@@ -60,7 +61,7 @@
 }
 """Attempt results by their numbers in the protocol."""
 START_WATCH = 1
-"""The only value of the field of a `LISTEN` action."""
+"""Value of the field of a `LISTEN` action; the protocol has no other value."""
 
 
 def read_settings(text: str) -> api.Settings:
@@ -71,7 +72,7 @@
 def encode_action(action: api.Action) -> bytes:
     """Encode an action of the decision module as an output record."""
     if isinstance(action, api.Forward):
-        # `write_deadline_ns` is not encoded, as the protocol has no field for it.
+        # `Forward.write_deadline_ns` is not encoded, as the protocol has no field for a write deadline.
         return frames.encode_action(
             ActionCode.FORWARD, action.request_id, action.endpoint_id, action.timeout_ns
         )
@@ -107,16 +108,16 @@
 
 
 class Adapter:
-    """Runs all instances of the decision module in this process, and stores their endpoint lists."""
+    """Runs all instances of the decision module in one process, and stores their endpoint lists."""
 
     def __init__(self) -> None:
         """Create an adapter without instances and endpoint lists."""
         self._balancers: dict[int, Balancer] = {}
-        self._class_counts: dict[int, int] = {}  # number of request classes by instance
+        self._class_counts: dict[int, int] = {}  # number of request classes in the settings, by instance
         self._endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}
 
     def reply_to(self, frame: bytes) -> bytes:
-        """Return the output frame for one input frame, which is passed without its length field.
+        """Return the output frame for one input frame, given without its length field.
 
         Raises WireError for a frame that violates the protocol, and SettingsError for invalid settings.
         """
@@ -143,7 +144,7 @@
         return frames.encode_reply(encoded_actions)
 
     def _apply(self, clock_ns: int, instance: int, record: Record) -> list[bytes]:
-        """Apply a record to an instance, and return the encoded actions of the instance."""
+        """Apply a record to an instance, and return the instance's actions in encoded form."""
         if isinstance(record, AttachRecord):
             return self._attach(clock_ns, instance, record)
         if isinstance(record, CrashRecord):
@@ -165,7 +166,7 @@
         try:
             text = record.settings_text.decode("utf-8")
         except UnicodeDecodeError:
-            raise SettingsError("the settings are not UTF-8 text") from None
+            raise SettingsError("settings in an ATTACH record are not UTF-8 text") from None
         settings = read_settings(text)
         try:
             balancer = Balancer(settings, record.seed)
@@ -188,7 +189,9 @@
             return self._translate_endpoint_update(record)
         if isinstance(record, ClientDisconnectedRecord):
             return api.ClientDisconnected(record.request_id)
-        raise WireError(f"{protocol_name(record)} record cannot be translated to an event")
+        raise WireError(
+            f"{protocol_name(record)} record cannot be translated to an event of the decision module"
+        )
 
     def _translate_request(self, instance: int, record: RequestRecord) -> api.Request:
         request_id, _, remaining_ns, tenant_index, class_index, key, options = record
@@ -220,5 +223,8 @@
 
 
 def _encode_fault() -> bytes:
-    """Encode the current exception of the decision module; the adapter invents no action in its place."""
+    """Encode the traceback of the decision module's current exception, limited to its last four frames.
+
+    The adapter reports the exception and invents no action in its place.
+    """
     return frames.encode_text(ActionCode.FAULT, traceback.format_exc(limit=-4))
--- a/moleport/config/__init__.py
+++ b/moleport/config/__init__.py
@@ -1,4 +1,4 @@
 """Parsers for the configuration file, the settings and the endpoint lists of discovery.
 
-They translate the keys and values of these documents to the names that the code uses.
+The parsers translate the keys and values of these documents to the names that the code uses.
 """
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -38,7 +38,7 @@
 
 
 class EndpointListError(Exception):
-    """Raised for an invalid endpoint list or address; the message names the reason."""
+    """Raised for an invalid endpoint list or address; the message contains the reason."""
 
 
 class DiscoveredEndpoint(NamedTuple):
@@ -47,7 +47,7 @@
     id: str
     """Unique name of the endpoint; it can be encoded as UTF-8."""
     address: tuple[str, int]
-    """IP address and port; ("", 0) for a removed endpoint."""
+    """IP address and port of the endpoint; ("", 0) for a removed endpoint."""
     zone: str
     """Name of the endpoint's zone; empty if the entry has none."""
     hardware_type: str
@@ -56,7 +56,7 @@
     """Number of the endpoint's cell."""
     state: EndpointState
     weight: float
-    """Relative capacity, a positive and finite number."""
+    """Relative capacity of the endpoint, a positive and finite number."""
     started_ms: int
     """Unix time of the endpoint's last start in ms; 0 stands for a start long ago."""
 
@@ -69,7 +69,7 @@
     is_snapshot: bool
     """Whether the list is complete, so that an endpoint without an entry is removed."""
     endpoints: tuple[DiscoveredEndpoint, ...]
-    """Entries in the order of the document; of two entries with the same id, the later one takes effect."""
+    """Entries in the order of the document; of two entries with one id, the later entry takes effect."""
 
 
 def parse_address(text: object) -> tuple[str, int]:
@@ -79,11 +79,12 @@
     colon separates the port, which is 0 to 65535. Host names are not resolved and raise EndpointListError.
     """
     if not isinstance(text, str):
-        raise EndpointListError(f"address is not text: {text!r}")
+        raise EndpointListError(f"endpoint address is not text: {text!r}")
     host, _, port = text.rpartition(":")
     try:
         if ":" in host:
-            # inet_pton does not accept a scope id. The import is local because it would slow down each start.
+            # inet_pton does not accept the scope id of an IPv6 address; ip_address does.
+            # The import of ipaddress is local because it would slow down each start of the node.
             from ipaddress import ip_address
 
             ip_address(host)
@@ -91,33 +92,41 @@
             inet_pton(AF_INET, host)
         port_number = int(port)
     except (OSError, ValueError):
-        raise EndpointListError(f"address is not a numeric host:port: {text!r}") from None
+        raise EndpointListError(f"endpoint address is not a numeric host:port: {text!r}") from None
     if not 0 <= port_number < PORT_COUNT:
-        raise EndpointListError(f"port is out of range in address: {text!r}")
+        raise EndpointListError(f"port of an endpoint address is not from 0 to 65535: {text!r}")
     return host, port_number
 
 
 def parse_update(document: object) -> DiscoveryUpdate:
     """Parse the JSON document of an endpoint list; raises EndpointListError.
 
-    Entries are not merged: of two entries with the same id, the later one takes effect.
+    Entries are not merged: of two entries with one id, the later entry takes effect.
     """
     version, is_snapshot, entries = parse_update_header(document)
     return DiscoveryUpdate(version, is_snapshot, tuple(parse_endpoints(entries)))
 
 
 def parse_update_header(document: object) -> tuple[int, bool, list[object]]:
-    """Return the version, whether the list is complete, and the raw entries; raises EndpointListError."""
+    """Return the version of an endpoint list, whether the list is complete, and its unparsed entries.
+
+    Raises EndpointListError for a document that is not an endpoint list.
+    """
     if not isinstance(document, dict):
         raise EndpointListError("the endpoint list is not a JSON object")
     version, entries = document.get("version"), document.get("servers")
     if not isinstance(version, int) or isinstance(version, bool) or not isinstance(entries, list):
-        raise EndpointListError("version is not an integer, or servers is not a list")
+        raise EndpointListError(
+            "version of the endpoint list is not an integer, or its servers are not a list"
+        )
     return version, document.get("full") is True, entries
 
 
 def parse_endpoints(entries: list[object]) -> list[DiscoveredEndpoint]:
-    """Parse entries, at 1 to 2 ms per thousand; raises EndpointListError, which names the invalid entry."""
+    """Parse entries of an endpoint list, at 1 to 2 ms per thousand.
+
+    Raises EndpointListError, whose message names the invalid entry.
+    """
     return [_parse_endpoint(entry) for entry in entries]
 
 
@@ -128,20 +137,25 @@
         address = ("", 0) if is_removed else parse_address(entry["addr"])
         endpoint_id = entry["id"]
         if not isinstance(endpoint_id, str):
-            raise ValueError("id is not text")
+            raise ValueError("endpoint id is not text")
         if not endpoint_id.isascii():
-            endpoint_id.encode()  # raises for a lone surrogate: such an id could not be hashed
+            # An endpoint id with a lone surrogate raises here, as it could not be encoded to be hashed.
+            endpoint_id.encode()
         weight = float(entry.get("weight", DEFAULT_WEIGHT))
         return DiscoveredEndpoint(
             endpoint_id,
             address,
-            intern(str(entry.get("zone", ""))),  # interned, as thousands of entries share a few names
+            # Names of zones and hardware types are interned, as thousands of entries share a few names.
+            intern(str(entry.get("zone", ""))),
             intern(str(entry.get("kind", ""))),
             int(entry.get("cell", 0)),
             state,
-            weight if 0.0 < weight < inf else DEFAULT_WEIGHT,  # the default also replaces NaN
+            # The default weight replaces NaN too, as each comparison with NaN is false.
+            weight if 0.0 < weight < inf else DEFAULT_WEIGHT,
             max(0, int(entry.get("started_ms", 0))),
         )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError, EndpointListError) as error:
         entry_name = entry.get("id") if isinstance(entry, dict) else entry
-        raise EndpointListError(f"invalid entry {entry_name!r:.80}: {error!r:.200}") from None
+        raise EndpointListError(
+            f"invalid entry {entry_name!r:.80} in the endpoint list: {error!r:.200}"
+        ) from None
--- a/moleport/config/node_config.py
+++ b/moleport/config/node_config.py
@@ -2,14 +2,14 @@
 
 The variable `BALANCER_CONFIG` is the path of the file, which contains a JSON object with these keys:
 
-| key | field of `Config` |
+| key of the file | field of `Config` |
 | --- | --- |
 | `listen` | `listen_address`; the variable `BALANCER_LISTEN` overrides it |
 | `discovery` | `discovery_address`; the variable `BALANCER_DISCOVERY` overrides it at the process's start |
 | `seed` | `seed`, as a number or as hexadecimal text |
 | `limits.sockets` | `max_descriptors` |
 | `known` | `cached_endpoints`, in the form of `moleport.config.endpoints` |
-| `settings` | all others; their keys and values are in `moleport.config.protocol_keys` |
+| `settings` | all other fields; their keys and values are in `moleport.config.protocol_keys` |
 """
 
 from __future__ import annotations
@@ -32,9 +32,12 @@
 """Environment variable with the address of the discovery agent."""
 
 MIN_DESCRIPTOR_COUNT = 96
-"""With fewer, the node's own descriptors leave none for connections to clients and servers."""
+"""Lowest accepted number of file descriptors.
+
+With a lower number, the node's own descriptors leave none for connections to clients and servers.
+"""
 MAX_DESCRIPTOR_COUNT = 1 << 30
-"""Linux allows a process no more file descriptors."""
+"""Highest accepted number of file descriptors; Linux's own limit, fs.nr_open, is 1 << 20 by default."""
 
 
 class ConfigError(Exception):
@@ -45,7 +48,7 @@
 class Config:
     """The validated configuration of a node.
 
-    The decision module identifies classes, tenants, zones and hardware types by the same indices.
+    The decision module identifies classes, tenants, zones and hardware types by the indices in this object.
     """
 
     listen_address: tuple[str, int]
@@ -57,19 +60,19 @@
     max_descriptors: int
     """Number of file descriptors that the process may have open."""
     cached_endpoints: DiscoveryUpdate
-    """The last endpoint list that the platform had when it wrote the file; it may be stale."""
+    """The last endpoint list that the platform had when it wrote the configuration file; it may be stale."""
     policy_settings: api.Settings
     """Settings of the decision module."""
     class_indices: dict[bytes, int]
-    """Index of each request class by the name that requests give."""
+    """Index of each request class, by the class name that requests contain."""
     max_deadlines_ns: tuple[int, ...]
     """Longest deadline that a request of a class may have, by class index."""
     tenant_indices: dict[bytes, int]
-    """Index of each tenant by the name that requests give."""
+    """Index of each tenant, by the tenant name that requests contain."""
     zone_indices: dict[str, int]
-    """Index of each zone by the name that endpoint lists give."""
+    """Index of each zone, by the zone name that endpoint lists contain."""
     hardware_type_indices: dict[str, int]
-    """Index of each hardware type by the name that endpoint lists give."""
+    """Index of each hardware type, by the name that endpoint lists contain."""
     load_report_wire_names: tuple[bytes, ...]
     """Names of the figures in a server's load report, as responses contain them."""
     connect_timeout_ns: int
@@ -79,7 +82,7 @@
     max_requests: int
     """Number of requests that the node may have in flight."""
     drain_grace_ns: int
-    """Time after the start of a server's drain by which the node must stop sending to the server."""
+    """Time after the start of a server's drain by which the node must stop sending requests to the server."""
 
 
 def load(environment: Mapping[str, str]) -> Config:
@@ -109,7 +112,8 @@
             document = json.load(file)
     except OSError as error:
         raise ConfigError(f"{CONFIG_VARIABLE}: cannot read {path!r}: {error.strerror}") from None
-    except (ValueError, RecursionError):  # RecursionError if the text has thousands of nesting levels
+    except (ValueError, RecursionError):
+        # json.load raises RecursionError for a text with thousands of nesting levels.
         raise ConfigError(f"{CONFIG_VARIABLE}: {path!r} does not contain valid JSON") from None
     if not isinstance(document, dict):
         raise ConfigError(f"{CONFIG_VARIABLE}: {path!r} does not contain a JSON object")
@@ -146,7 +150,7 @@
 def _read_object(parent: dict[str, Any], key: str) -> dict[str, Any]:
     value = parent.get(key)
     if not isinstance(value, dict):
-        raise ConfigError(f"{key} is not a JSON object")
+        raise ConfigError(f"configuration key {key} is not a JSON object")
     return value
 
 
@@ -157,7 +161,7 @@
     try:
         return parse_address(text)
     except EndpointListError:
-        raise ConfigError(f"{name} is not a numeric host:port: {format_for_error(text)}") from None
+        raise ConfigError(f"address in {name} is not a numeric host:port: {format_for_error(text)}") from None
 
 
 def _read_seed(document: dict[str, Any]) -> int:
@@ -165,7 +169,9 @@
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)  # type: ignore[arg-type]
     except (TypeError, ValueError, OverflowError):
-        raise ConfigError(f"seed cannot be read as an integer: {format_for_error(seed)}") from None
+        raise ConfigError(
+            f"configuration key seed cannot be read as an integer: {format_for_error(seed)}"
+        ) from None
 
 
 def _read_max_descriptors(document: dict[str, Any]) -> int:
@@ -173,8 +179,8 @@
     if isinstance(sockets, int) and MIN_DESCRIPTOR_COUNT <= sockets <= MAX_DESCRIPTOR_COUNT:
         return sockets
     raise ConfigError(
-        f"limits.sockets is not an integer from {MIN_DESCRIPTOR_COUNT} to {MAX_DESCRIPTOR_COUNT}: "
-        f"{format_for_error(sockets)}"
+        "configuration key limits.sockets is not an integer from "
+        f"{MIN_DESCRIPTOR_COUNT} to {MAX_DESCRIPTOR_COUNT}: {format_for_error(sockets)}"
     )
 
 
@@ -182,9 +188,11 @@
     try:
         return parse_update(document.get("known"))
     except EndpointListError as error:
-        raise ConfigError(f"known is not a valid endpoint list: {error}") from None
+        raise ConfigError(f"configuration key known is not a valid endpoint list: {error}") from None
     except RecursionError:
-        raise ConfigError("known is not a valid endpoint list: too many nesting levels") from None
+        raise ConfigError(
+            "configuration key known has too many nesting levels for an endpoint list"
+        ) from None
 
 
 def _read_max_deadline_ns(reader: SettingsReader, path: str) -> int:
@@ -194,7 +202,7 @@
 def _read_entry_names(tree: dict[str, Any], key: str) -> list[str]:
     """Return the names of the entries of a list setting.
 
-    The names are read from the JSON tree, as the flat form would not keep their spaces and commas.
+    The names are read from the JSON tree, as the flat form would not keep spaces and commas in a name.
     """
     entries = tree.get(key) or []
     if not isinstance(entries, list):
--- a/moleport/config/settings.py
+++ b/moleport/config/settings.py
@@ -14,11 +14,11 @@
 from moleport.policy import interface as api
 
 MAX_NESTING_LEVELS = 64
-"""Highest nesting depth of objects and lists in a settings object."""
+"""Highest accepted nesting depth of objects and lists in a settings object."""
 MAX_INTEGER = (1 << 63) - 1
 """Highest integer that the simulator's protocol can carry."""
 MAX_SHOWN_CHARACTERS = 100
-"""Length to which an error message truncates a value or a path."""
+"""Number of characters to which an error message truncates a value or a path."""
 
 _T = TypeVar("_T")
 _Default = TypeVar("_Default")
@@ -55,7 +55,7 @@
 
 
 class SettingsReader:
-    """Typed, validated access to flat settings.
+    """Typed, validated access to settings in flat form, a mapping from paths to text.
 
     Each method that returns a value raises SettingsError for a missing, unreadable or out-of-range setting.
     """
@@ -79,7 +79,7 @@
         return self._values[path]
 
     def integer(self, path: str, minimum: int = 0) -> int:
-        """Return the setting as an integer from `minimum` to MAX_INTEGER."""
+        """Return the setting as an integer, which is at least `minimum` and at most MAX_INTEGER."""
         value = self._parse(path, int)
         if value < minimum:
             raise SettingsError(f"setting {path} is below {minimum}: {format_for_error(value)}")
@@ -103,7 +103,7 @@
         return self.one_of(path, protocol.FLAGS)
 
     def comma_separated(self, path: str) -> tuple[str, ...]:
-        """Return the items of a comma-separated setting, without empty ones."""
+        """Return the items of a comma-separated setting, without empty items."""
         return tuple(item for item in self.text(path).split(",") if item)
 
     def entries(self, path: str, read: Callable[[SettingsReader, str], _T]) -> tuple[_T, ...]:
@@ -203,7 +203,7 @@
 
 
 def _with_protocol_path(error: ValueError, keys: type[object], prefix: str = "") -> SettingsError:
-    """Add the protocol path to an error of the decision module, whose text begins with the field name."""
+    """Return an error with the protocol path of the field whose name begins the decision module's error."""
     field, _, statement = str(error).partition(" ")
     key = getattr(keys, field.upper(), None)
     if key is None:
