--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -61,15 +61,15 @@
 # number of bytes to which text in an output record is truncated; the length field of a text allows 65_535
 _MAX_TEXT_BYTES = 60_000
 
-# Layouts of output records, by action code. The first field of each layout is the action code.
+# Layouts of output records, by action code. The action code comes first, then the listed fields.
 _ACTION_LAYOUTS = {
-    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # fields of FORWARD: request id, endpoint id, timeout in ns
-    ActionCode.BUSY: struct.Struct("<BQQ"),  # fields of BUSY: request id, value of Retry-After in ns
-    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),  # field of REPORT_FAILURE: request id
-    ActionCode.WAKE_AT: struct.Struct("<BQI"),  # fields of WAKE_AT: clock time of the timer in ns, timer id
-    ActionCode.HANG_UP: struct.Struct("<B6s"),  # field of HANG_UP: endpoint id
-    ActionCode.LISTEN: struct.Struct("<BB"),  # field of LISTEN: always 1
-    ActionCode.SOURCE: struct.Struct("<BH"),  # field of SOURCE: instance number
+    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # FORWARD action: request id, endpoint id, timeout in ns
+    ActionCode.BUSY: struct.Struct("<BQQ"),  # BUSY action: request id, value of Retry-After in ns
+    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),  # REPORT_FAILURE action: request id
+    ActionCode.WAKE_AT: struct.Struct("<BQI"),  # WAKE_AT action: clock time of the timer in ns, timer id
+    ActionCode.HANG_UP: struct.Struct("<B6s"),  # HANG_UP action: endpoint id
+    ActionCode.LISTEN: struct.Struct("<BB"),  # LISTEN action: constant 1
+    ActionCode.SOURCE: struct.Struct("<BH"),  # SOURCE action: number of the instance that acts next
 }
 # header of an output record with text: action code, number of bytes of the text that follows
 _TEXT_HEADER = struct.Struct("<BH")
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -139,7 +139,7 @@
         if not isinstance(endpoint_id, str):
             raise ValueError("endpoint id is not text")
         if not endpoint_id.isascii():
-            # An endpoint id with a lone surrogate raises here, as it could not be encoded to be hashed.
+            # The encoding fails for an endpoint id with a lone surrogate, which could not be hashed either.
             endpoint_id.encode()
         weight = float(entry.get("weight", DEFAULT_WEIGHT))
         return DiscoveredEndpoint(
--- a/moleport/config/settings.py
+++ b/moleport/config/settings.py
@@ -65,21 +65,21 @@
         self._values = values
 
     def has(self, path: str) -> bool:
-        """Return whether the setting is present."""
+        """Return whether the settings contain the path."""
         return path in self._values
 
     def optional(self, path: str, read: Callable[[str], _T], default: _Default) -> _T | _Default:
-        """Return `read(path)` for a method `read` of this reader, or the default for a missing setting."""
+        """Return `read(path)`, with a method `read` of this reader, or the default for a missing setting."""
         return read(path) if path in self._values else default
 
     def text(self, path: str) -> str:
-        """Return the unparsed text of the setting."""
+        """Return the unparsed text of the setting at a path."""
         if path not in self._values:
             raise SettingsError(f"required setting {path} is missing")
         return self._values[path]
 
     def integer(self, path: str, minimum: int = 0) -> int:
-        """Return the setting as an integer, which is at least `minimum` and at most MAX_INTEGER."""
+        """Return the setting at a path as an integer from `minimum` to MAX_INTEGER."""
         value = self._parse(path, int)
         if value < minimum:
             raise SettingsError(f"setting {path} is below {minimum}: {format_for_error(value)}")
@@ -88,22 +88,22 @@
         return value
 
     def number(self, path: str) -> float:
-        """Return the setting as a finite number that is not negative."""
+        """Return the setting at a path as a finite number that is not negative."""
         return self._parse(path, _parse_number)
 
     def one_of(self, path: str, values_by_text: Mapping[str, _T]) -> _T:
-        """Return the value that the setting's text has in a table of all valid texts."""
+        """Return the value of the setting at a path, by a table from valid texts to values."""
         text = self.text(path)
         if text not in values_by_text:
             raise SettingsError(f"setting {path} has an unknown value: {format_for_error(text)}")
         return values_by_text[text]
 
     def flag(self, path: str) -> bool:
-        """Return the setting as a boolean."""
+        """Return the setting at a path as a boolean."""
         return self.one_of(path, protocol.FLAGS)
 
     def comma_separated(self, path: str) -> tuple[str, ...]:
-        """Return the items of a comma-separated setting, without empty items."""
+        """Return the items of the comma-separated setting at a path, without empty items."""
         return tuple(item for item in self.text(path).split(",") if item)
 
     def entries(self, path: str, read: Callable[[SettingsReader, str], _T]) -> tuple[_T, ...]:
--- a/moleport/telemetry.py
+++ b/moleport/telemetry.py
@@ -98,7 +98,7 @@
         self._is_tracing = os.environ.get("BALANCER_TRACE") == "1" if trace is None else trace
 
     def count(self, event: Event, **ids: object) -> None:
-        """Count an event, and log it with `ids` if the trace is on."""
+        """Count an event, and log the event with `ids` if the trace is on."""
         self.counters[event] += 1
         if self._is_tracing:
             log.info("trace %s", json.dumps({"event": event, **ids}, default=str))
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs seeds of the fault soak by `python -m soak`, and prints a line of JSON for each.
+"""Runs seeds of the fault soak by `python -m soak`, and prints a line of JSON for each seed.
 
 The exit code is not zero if a rule was violated. A seed determines the faults, but not how the scheduler of
 the machine interleaves the processes: run a failing seed again to see how often it fails, and keep its logs
@@ -29,17 +29,19 @@
 from soak.servers import DiscoveryAgent, FaultProxy, Server
 
 NS_PER_MS = 1_000_000
-SILENCE_NOTIFIED_SECONDS = 6.0  # missed changes count as notified this long after a watch became silent
-HEARTBEAT_SECONDS = 0.005  # period at which the driver measures the delay of its own event loop
-ERROR_NUMBERS = (12, 23, 24, 99, 100, 101, 103, 105, 113)  # ENOMEM to EHOSTUNREACH, as local faults of a node
-MAX_END_SECONDS = 30.0  # time after the load within which a run must end
-CROWDED_RUNS_RATIO = 0.3  # ratio of the seeds whose runs have crowds of idle clients
-CROWD_CLIENT_COUNT = 200  # idle clients of a crowd, at a node with 256 descriptors
-CLOCK_STEPS_MS = (-3_600_000, -2_000, 2_000, 3_600_000)
+# time from a watch's silence until its node counts as notified of the changes that the node missed
+SILENCE_NOTIFIED_SECONDS = 6.0
+HEARTBEAT_SECONDS = 0.005  # period at which the driver of the soak measures its event loop's delay
+# error numbers of a node's local faults, from ENOMEM (12) to EHOSTUNREACH (113)
+ERROR_NUMBERS = (12, 23, 24, 99, 100, 101, 103, 105, 113)
+MAX_END_SECONDS = 30.0  # time from the end of the load until the run of a seed must have ended
+CROWDED_RUNS_RATIO = 0.3  # probability that the run of a seed has crowds of idle clients
+CROWD_CLIENT_COUNT = 200  # number of idle clients that connect to a node with 256 descriptors
+CLOCK_STEPS_MS = (-3_600_000, -2_000, 2_000, 3_600_000)  # steps of the nodes' wall clocks, in ms
 
 
 def request_class(name: str, semantics: str) -> dict[str, Any]:
-    """Return a request class with the keys of the protocol."""
+    """Return the configuration of a request class, with the keys of the platform's protocol."""
     return {
         "Aim": 1500 * NS_PER_MS,
         "Deadline": 2500 * NS_PER_MS,
@@ -101,10 +103,10 @@
         self._document = document
         self._version = 10
         self._fault_tasks: set[asyncio.Task[None]] = set()
-        self._busy_nodes: set[str] = set()  # names of nodes at which a fault that excludes others is active
+        self._busy_nodes: set[str] = set()  # names of nodes at which an exclusive fault is active
         self._wall_offset_ms = 0
 
-    # The endpoint list.
+    # Methods that build the endpoint list and send it to the nodes' discovery agents
 
     def _list_entry(self, proxy: FaultProxy) -> dict[str, Any]:
         server = proxy.server
@@ -138,7 +140,7 @@
             notified_at = max(notified_at, agent.silent_since + SILENCE_NOTIFIED_SECONDS)
         return notified_at
 
-    # The faults, in methods named like their entries in the report.
+    # Methods that inject one fault each, and are named like the fault in the report
 
     async def _retire(self, proxy: FaultProxy) -> None:
         """Drain and remove a server, and add it again in slow start."""
@@ -163,20 +165,20 @@
         self._publish(proxy)
 
     async def _misbehave(self, proxy: FaultProxy) -> None:
-        """Give a server a random behaviour other than serving, for a while."""
+        """Give a server a random behaviour other than `serve` for a while."""
         proxy.server.behaviour = self._random.choice(Server.BEHAVIOURS[1:])
         await asyncio.sleep(self._random.uniform(0.5, 3.0))
         proxy.server.behaviour = "serve"
 
     async def _cut(self, proxy: FaultProxy) -> None:
-        """Inject a random proxy fault for a while, then reset the server's connections."""
+        """Inject a random fault of a server's proxy for a while, then reset the server's connections."""
         proxy.fault = self._random.choice(("silent", "refuse"))
         await asyncio.sleep(self._random.uniform(0.3, 2.0))
         proxy.fault = ""
         proxy.server.reset_connections()
 
     async def _hold(self, node: NodeProcess) -> None:
-        """Stop and continue a node's process up to three times."""
+        """Stop a node's process by SIGSTOP and continue it, one to three times."""
         for _ in range(self._random.randrange(1, 4)):
             await node.hold(self._random.uniform(0.03, 0.4))
             await asyncio.sleep(self._random.uniform(0.0, 0.2))
@@ -186,11 +188,11 @@
         await node.restart(kill=self._random.random() < 0.3, random=self._random)
 
     async def _reload(self, node: NodeProcess) -> None:
-        """Move a node to its other agent, in half of the cases by a file that is half written at first."""
+        """Reload a node with its other agent; in half of the cases the new file is half written at first."""
         await node.reload(half_written=self._random.random() < 0.5, random=self._random)
 
     async def _crowd(self, node: NodeProcess) -> None:
-        """Fill a node's descriptors with connections of idle clients for a while."""
+        """Use up a node's descriptors by the connections of idle clients for a while."""
         writers = []
         for _ in range(CROWD_CLIENT_COUNT):
             with suppress(OSError):
@@ -207,13 +209,13 @@
         node.faults.set(**{field: 0})
 
     async def _step_clocks(self, _: NodeProcess) -> None:
-        """Step the wall clocks of all nodes by the same random time."""
+        """Step the wall clocks of all nodes by one random value of `CLOCK_STEPS_MS`."""
         self._wall_offset_ms += self._random.choice(CLOCK_STEPS_MS)
         for node in self._nodes:
             node.faults.set(wall_offset_ms=self._wall_offset_ms)
 
     async def _lose_agent(self, node: NodeProcess) -> None:
-        """Reset the watches of a node's agent, silence them, or shut the agent down for a while."""
+        """Reset or silence the watches of a node's discovery agent, or shut the agent down for a while."""
         agent = node.agents[node.agent_index]
         fault = self._random.choice(("drop", "silent", "down"))
         if fault == "drop":
@@ -230,14 +232,14 @@
     async def _run_exclusively(
         self, node: NodeProcess, fault: Callable[[NodeProcess], Awaitable[None]]
     ) -> None:
-        """Inject a fault at a node unless another exclusive fault is active there."""
+        """Inject a fault at a node unless another exclusive fault is active at the node."""
         if node.name not in self._busy_nodes:
             self._busy_nodes.add(node.name)
             await fault(node)
             self._busy_nodes.discard(node.name)
 
     def _inject_fault(self) -> None:
-        """Start a random fault at a random node or server, without waiting for its end."""
+        """Start a random fault at a random node or server, without waiting for the fault's end."""
         node = self._random.choice(self._nodes)
         proxy = self._random.choice(self._proxies)
         faults: list[tuple[str, Callable[[], Coroutine[Any, Any, None]]]] = [
@@ -270,7 +272,7 @@
             await asyncio.sleep(HEARTBEAT_SECONDS)
             self.observations.max_lag_seconds = max(self.observations.max_lag_seconds, time.monotonic() - due)
 
-    # The run.
+    # Start, end and report of the run
 
     def kill_all(self) -> None:
         """Kill all node processes."""
@@ -283,7 +285,7 @@
             await server.start()
             await proxy.start()
         entries = [self._list_entry(proxy) for proxy in self._proxies]
-        # Nodes that restart later read this list too, so it is outdated then.
+        # Nodes that restart later read the endpoint list from the start of the run, which is outdated then.
         self._document["known"] = {"version": 5, "full": True, "servers": entries}
         for node in self._nodes:
             for agent in node.agents:
@@ -312,13 +314,13 @@
                 Violation(
                     "bad client",
                     "",
-                    f"{slow_count} invalid clients got neither a response nor a close in time",
+                    f"{slow_count} invalid requests had neither a response nor a closed connection in time",
                 )
             )
         return violations + list(self.observations.violations())
 
     def report(self) -> dict[str, Any]:
-        """Return the figures of the run by their keys in the printed JSON."""
+        """Return the figures of the run, by their keys in the printed JSON."""
         statuses = Counter(
             str(request.status)
             for request in self.observations.requests.values()
@@ -334,7 +336,7 @@
 
 
 def _handle_loop_exception(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Report an exception in a callback, except the cancellation of handlers at the end of the run."""
+    """Report an exception in a callback of the event loop, unless it is a cancellation at the run's end."""
     if not isinstance(context.get("exception"), asyncio.CancelledError):
         loop.default_exception_handler(context)
 
@@ -342,7 +344,7 @@
 async def run_seed(
     seed: int, node_count: int, load_seconds: float, folder: Path
 ) -> tuple[dict[str, Any], list[Violation]]:
-    """Run one seed; return its report and its violations."""
+    """Run one seed; return the report and the violations of the run."""
     asyncio.get_running_loop().set_exception_handler(_handle_loop_exception)
     soak = Soak(seed, node_count, load_seconds, folder)
     try:
@@ -361,7 +363,11 @@
     parser.add_argument(
         "--span", type=float, default=20.0, help="seconds of load for each seed (default: 20)"
     )
-    parser.add_argument("--keep", type=Path, help="folder to copy the logs of the nodes to")
+    parser.add_argument(
+        "--keep",
+        type=Path,
+        help="folder to which the files of each run, with the logs of the nodes, are copied",
+    )
     options = parser.parse_args()
     failed_seed_count = 0
     for seed in range(options.seeds[0], options.seeds[1] + 1):
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,7 +1,7 @@
 """Clients of the soak.
 
-Most clients send a request and wait for the response. Some disconnect early, or send an invalid request, an
-incomplete one or none.
+For most requests, a client waits for the response. For some, the client disconnects early, or sends an
+invalid request, an incomplete request or no data.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 from soak.oracle import ANSWER_GRACE_SECONDS, ClientRequest, Observations
 from soak.servers import read_message, reset
 
-GIVE_UP_SECONDS = 1.0  # time after the answer grace for which a client still waits for the response
-# Ratios of the requests whose client disconnects early, and of invalid requests at a node that is up.
+GIVE_UP_SECONDS = 1.0  # time after ANSWER_GRACE_SECONDS for which a client still waits for a response
+# ratio of requests whose client disconnects early; ratio of invalid requests among those to nodes that are up
 DISCONNECT_RATIO, INVALID_REQUEST_RATIO = 0.08, 0.04
-MAX_INVALID_CLIENT_SECONDS = 3.0  # time within which the node must answer or close after an invalid request
+# time within which a node must answer an invalid request or close its connection
+MAX_INVALID_CLIENT_SECONDS = 3.0
 INVALID_REQUESTS = (
     b"",
     b"GET /api HT",
@@ -30,7 +31,7 @@
 
 
 class Client:
-    """Sends requests to one node, one after another, and keeps its connection open between them."""
+    """A client that sends requests to one node, one after another, and reuses its connection."""
 
     def __init__(self, node: NodeProcess, observations: Observations, seed: int) -> None:
         self._node = node
@@ -40,11 +41,11 @@
         self.slow_invalid_client_count = 0
 
     async def run(self, end: float) -> None:
-        """Send requests until `end`, in monotonic seconds."""
+        """Send requests until the time `end`, in monotonic seconds."""
         while time.monotonic() < end:
             await asyncio.sleep(self._random.choice((0.01, 0.05, 0.2, 0.7, 2.4)))
             if not self._node.is_up:
-                # The node is shutting down or down: an open connection is used until the node closes it.
+                # While the node shuts down or is down, the client uses an open connection until its end.
                 await self._send_request()
                 continue
             if self._random.random() < INVALID_REQUEST_RATIO:
@@ -88,8 +89,9 @@
                 return
             self._disconnect()
             if request.request_id in self._observations.attempts:
-                return  # A server received the request; the oracle decides whether the close is a violation.
-            # The node closed the connection without reading the request, so the client sends it once more.
+                # A server received the request: the oracle decides whether the node's close is a violation.
+                return
+            # The node closed the connection without reading the request, so the client repeats the request.
 
     def _request_bytes(self, request: ClientRequest) -> bytes:
         method, class_name = (b"POST", b"order") if request.at_most_once else (b"GET", b"page")
@@ -115,7 +117,10 @@
         self._connection = None
 
     async def _receive_response(self, request: ClientRequest, reader: asyncio.StreamReader) -> bool:
-        """Record the response or its absence; return False if the connection ended before its first byte."""
+        """Record the response to a request, or its absence.
+
+        Return False if the connection ended before the first byte of the response.
+        """
         try:
             async with asyncio.timeout(request.deadline_seconds + ANSWER_GRACE_SECONDS + GIVE_UP_SECONDS):
                 status_line, headers, body = await read_message(reader)
@@ -135,7 +140,10 @@
         return True
 
     async def _send_invalid_request(self) -> None:
-        """Send an invalid request or none, and count it if the node neither answers nor closes in time."""
+        """Send an invalid request, or no data, on a new connection.
+
+        Count the request as slow if the node neither answers nor closes the connection in time.
+        """
         connection = await self._connect()
         if connection is None:
             return
--- a/soak/nodes.py
+++ b/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Starts, restarts, stops, reloads and ends the real node processes of the soak, and reads their logs."""
+"""Starts, stops, restarts, reloads and ends the real node processes of the soak, and reads their logs."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
 from soak.servers import DiscoveryAgent
 from soak.shims import ROOT, Faults
 
-LISTEN_PORTS = range(15_000, 30_000)  # below the ephemeral ports that Linux gives to outgoing connections
-MAX_READY_SECONDS = 10.0  # time from the start of a node within which it must be ready
-MAX_DEADLINE_SECONDS = 3.0  # the platform waits for no longer deadline when it ends a node
-KILL_DELAY_SECONDS = 0.7  # shortest time from the end of the longest deadline to SIGKILL
-NEW_CONNECTIONS_SECONDS = 0.3  # time after SIGTERM for which clients still open new connections
-MAX_SIGNAL_GAP_SECONDS = 0.005  # longest pause between two signals of a series
-SIGNAL_COUNT_BOUND = 4  # exclusive upper bound for the number of signals in a series
+# ports that nodes listen on, below the ephemeral ports that Linux gives to outgoing connections
+LISTEN_PORTS = range(15_000, 30_000)
+MAX_READY_SECONDS = 10.0  # time from the start of a node's process until the node must be ready
+MAX_DEADLINE_SECONDS = 3.0  # longest request deadline that the platform waits for when it ends a node
+KILL_DELAY_SECONDS = 0.7  # shortest time from the end of the longest request deadline to SIGKILL
+NEW_CONNECTIONS_SECONDS = 0.3  # time after a node's SIGTERM for which clients still connect to the node
+MAX_SIGNAL_GAP_SECONDS = 0.005  # longest pause between two signals that the driver sends in a series
+SIGNAL_COUNT_BOUND = 4  # exclusive upper bound for the number of signals that the driver sends in a series
 NS_PER_SECOND = 10**9
 LOGGED_FAULTS = ("Traceback", "invariant violated", "the policy failed", "action failed")
 
 
 def free_port() -> int:
-    """Return a free port outside the ephemeral range, so that no client takes it while its node is down."""
+    """Return a free port outside the ephemeral range, so no connection takes it while its node is down."""
     while True:
         port = secrets.randbelow(LISTEN_PORTS.stop - LISTEN_PORTS.start) + LISTEN_PORTS.start
         with socket.socket() as probe, suppress(OSError):
@@ -45,9 +46,10 @@
         self.name = name
         self.port = free_port()
         self.agents = [DiscoveryAgent(), DiscoveryAgent()]
-        self.agent_index = 0  # index of the agent that the node's configuration names
+        self.agent_index = 0  # index of the discovery agent that the node's configuration names
         self.is_up = False  # whether clients open new connections to the node
-        self.notified_from = 0.0  # monotonic seconds; no update counts as notified to the node before
+        # earliest monotonic time, in seconds, at which an endpoint update counts as notified to the node
+        self.notified_from = 0.0
         self.violations: list[Violation] = []
         self._folder = folder
         self._document = document
@@ -60,7 +62,7 @@
         self._kill_after_s = min(MAX_DEADLINE_SECONDS, max(deadlines)) + KILL_DELAY_SECONDS
 
     def configuration_text(self) -> str:
-        """Return the content of the node's configuration file, with its current agent."""
+        """Return the content of the node's configuration file, with the node's current discovery agent."""
         agent_address = f"127.0.0.1:{self.agents[self.agent_index].port}"
         listen_address = f"127.0.0.1:{self.port}"
         return json.dumps(
@@ -68,7 +70,10 @@
         )
 
     async def start(self) -> None:
-        """Start the process and wait until `/up` answers 200; record a violation if this takes too long."""
+        """Start the node's process and wait until `/up` answers 200.
+
+        Record a violation if the process ends or is not ready within MAX_READY_SECONDS.
+        """
         self._config_path.write_text(self.configuration_text())
         self.notified_from = time.monotonic()
         environment = {**os.environ, "BALANCER_CONFIG": str(self._config_path), "BALANCER_TRACE": "1"}
@@ -87,7 +92,11 @@
                 return
             await asyncio.sleep(0.05)
         self.violations.append(
-            Violation("crash", self.name, f"exited, or not ready within {MAX_READY_SECONDS} s")
+            Violation(
+                "crash",
+                self.name,
+                f"process exited, or was not ready within {MAX_READY_SECONDS} s of its start",
+            )
         )
 
     async def _is_ready(self) -> bool:
@@ -101,12 +110,12 @@
         return b" 200 " in status_line
 
     def send_signal(self, signal_number: signal.Signals) -> None:
-        """Send a signal if the process is running."""
+        """Send a signal to the node's process if it is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(signal_number)
 
     async def send_signals(self, signals: list[signal.Signals], random: Random) -> None:
-        """Send signals with random pauses of up to MAX_SIGNAL_GAP_SECONDS."""
+        """Send signals to the node's process, with random pauses of up to MAX_SIGNAL_GAP_SECONDS."""
         for signal_number in signals:
             self.send_signal(signal_number)
             await asyncio.sleep(random.uniform(0.0, MAX_SIGNAL_GAP_SECONDS))
@@ -114,8 +123,8 @@
     async def restart(self, kill: bool, random: Random) -> None:
         """Restart the node by SIGTERM, or by SIGKILL if `kill` is true.
 
-        Other signals arrive before and after SIGTERM. Clients use their open connections until the process
-        ends.
+        SIGHUP signals are sent before SIGTERM, and SIGHUP or SIGTERM signals after it. Clients use their open
+        connections until the process ends.
         """
         process = self._process
         assert process is not None
@@ -132,22 +141,25 @@
         await self._wait_for_end(process)
         if not kill and process.returncode != 0:
             self.violations.append(
-                Violation("crash", self.name, f"exit code {process.returncode} after SIGTERM")
+                Violation(
+                    "crash", self.name, f"process ended with exit code {process.returncode} after SIGTERM"
+                )
             )
         self.faults.set(accept_errno=0, connect_errno=0)
         await self.start()
 
     async def hold(self, seconds: float) -> None:
-        """Stop the process by SIGSTOP, and continue it after some seconds."""
+        """Stop the node's process by SIGSTOP for some seconds, then continue it by SIGCONT."""
         self.send_signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         self.send_signal(signal.SIGCONT)
 
     async def reload(self, half_written: bool, random: Random) -> None:
-        """Move the node to its other agent by a new configuration; the old agent resets its watches later.
+        """Reload the node with a configuration that names its other discovery agent.
 
-        One to three SIGHUP signals request the reload. With `half_written`, the file is incomplete when they
-        are sent, and becomes complete shortly after.
+        One to three SIGHUP signals request the reload. With `half_written`, the configuration file is
+        incomplete when the signals are sent, and complete shortly after. The old agent resets its watches
+        later.
         """
         old_agent = self.agents[self.agent_index]
         self.agent_index = 1 - self.agent_index
@@ -165,18 +177,20 @@
         old_agent.reset_watches()
 
     def kill(self) -> None:
-        """Kill the process if it is running, so that no process outlives a failed run of the driver."""
+        """Kill the node's process if it is running: no process must outlive a failed run of the driver."""
         with suppress(ProcessLookupError):
             self.send_signal(signal.SIGKILL)
 
     async def end(self) -> None:
-        """Shut the node down; record a violation if its process has ended already."""
+        """Shut the node down; record a violation if the node's process has ended already."""
         process = self._process
         if process is None:
             return
         if process.returncode is not None:
             self.violations.append(
-                Violation("crash", self.name, f"exited during the run with code {process.returncode}")
+                Violation(
+                    "crash", self.name, f"process exited during the run with exit code {process.returncode}"
+                )
             )
             return
         self.send_signal(signal.SIGCONT)
@@ -184,7 +198,7 @@
         await self._wait_for_end(process)
 
     async def _wait_for_end(self, process: asyncio.subprocess.Process) -> None:
-        """Wait for the end of the process; kill it after the shortest wait of the platform.
+        """Wait for the end of a process; kill the process after the shortest wait of the platform.
 
         Record a violation if the process had to be killed.
         """
@@ -192,13 +206,13 @@
             await asyncio.wait_for(process.wait(), self._kill_after_s)
         except TimeoutError:
             self.violations.append(
-                Violation("end", self.name, f"still running {self._kill_after_s} s after SIGTERM")
+                Violation("end", self.name, f"process was still running {self._kill_after_s} s after SIGTERM")
             )
             self.send_signal(signal.SIGKILL)
             await process.wait()
 
     def read_log(self) -> None:
-        """Record the requests that the node has read, and faults of the node, by its log."""
+        """Record, from the node's log, the requests that the node has read and the faults of the node."""
         for line in self._log_path.read_text(errors="replace").splitlines():
             if '"event": "request_received"' in line:
                 request_id = json.loads(line[line.index("{") :])["id"]
--- a/soak/oracle.py
+++ b/soak/oracle.py
@@ -1,8 +1,8 @@
-"""The rules of the platform, checked against what clients, servers and agents of the soak observed.
+"""Checks the rules of the platform against what clients, servers and agents of the soak observed.
 
 All times are monotonic seconds of the driver, the process that runs clients, servers and agents. The driver
-observes each event with a delay; `Observations.max_lag_seconds` is its longest one. The oracle reports a
-violation only if this delay can't explain it.
+observes each event with a delay; `Observations.max_lag_seconds` is the longest delay. The oracle reports a
+violation only if this delay can't explain the violation.
 """
 
 from __future__ import annotations
@@ -13,10 +13,13 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-ANSWER_GRACE_SECONDS = 0.5  # time after a request's deadline within which a response is late, but not lost
-DISCONNECT_GRACE_SECONDS = 0.1  # time after a client's disconnection within which an attempt may still begin
-DRAIN_GRACE_SECONDS = 0.55  # time after the notification of a drain, with the tolerance of the platform
-DEADLINE_TOLERANCE_SECONDS = 0.15  # time by which a stated timeout may exceed the time left
+ANSWER_GRACE_SECONDS = 0.5  # time after a request's deadline within which its response is late, but not lost
+# time after a client's disconnection within which an attempt of its request may still begin
+DISCONNECT_GRACE_SECONDS = 0.1
+# time after the notification of a drain for which a server may get attempts, with the platform's tolerance
+DRAIN_GRACE_SECONDS = 0.55
+# time by which the timeout that an attempt states may exceed the time until the request's deadline
+DEADLINE_TOLERANCE_SECONDS = 0.15
 
 
 class Violation(NamedTuple):
@@ -24,7 +27,7 @@
 
     rule: str
     subject: str
-    """Id of the request, or name of the node."""
+    """Id of the request, or name of the node, that broke the rule."""
     detail: str
 
 
@@ -33,13 +36,13 @@
     """A request that a server has received completely."""
 
     server: str
-    """Name of the server."""
+    """Name of the server that received the request."""
     received_at: float
-    """Time at which the server had received the last byte."""
+    """Time at which the server had received the last byte of the request."""
     timeout_s: float
-    """Time left that the attempt states to the server, in X-Deadline."""
+    """Time until the request's deadline that the attempt states in X-Deadline, in seconds."""
     may_have_run: bool = True
-    """False if the server responded that it has not executed the request."""
+    """False if the server responded that the request was not executed."""
     ended_at: float | None = None
     """Time of the server's response, or of the end of the connection; None while the attempt is in flight."""
 
@@ -55,35 +58,38 @@
     """Whether the request must never be executed twice."""
     sent_at: float
     deadline_seconds: float
-    """Time from `sent_at` for which the client waits, as the request states in X-Deadline."""
+    """Time from `sent_at` to the request's deadline, as the request states in X-Deadline."""
     disconnected_at: float | None = None
-    """Time at which the client closed the connection without waiting for the response."""
+    """Time at which the client closed its connection without waiting for the response."""
     status: int | None = None
-    """Status of the response; None if there was none."""
+    """Status code of the response; None for a request without a response."""
     body: bytes = b""
-    """Body of the response."""
+    """Body of the response; empty for a request without a response."""
     answered_at: float | None = None
-    """Time of the response."""
+    """Time at which the client had received the response."""
     closed_at: float | None = None
     """Time at which the connection ended without a response."""
 
 
 @dataclass
 class Observations:
-    """All that clients, servers and agents observed in one run, and the rules that apply to it."""
+    """All that clients, servers and agents observed in one run, with the checks of the platform's rules."""
 
     requests: dict[str, ClientRequest] = field(default_factory=dict)
     """Requests of clients, by id."""
     attempts: defaultdict[str, list[Attempt]] = field(default_factory=lambda: defaultdict(list))
-    """Attempts in the order of their arrival at servers, by request id."""
+    """Attempts of each request in the order of their arrival at servers, by request id."""
     request_ids_by_body: dict[bytes, str] = field(default_factory=dict)
-    """Request ids by the body of the response that a server made for the request."""
+    """Id of the request that a server responded to, by the body of the response."""
     read_request_ids: set[str] = field(default_factory=set)
-    """Ids of the requests that nodes have read, by their logs."""
+    """Ids of the requests that nodes have read, as the logs of the nodes state."""
     kill_times: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """Times at which a node was killed, by its name."""
+    """Times at which each node was killed, by the name of the node."""
     removals: list[tuple[str, str, float, float]] = field(default_factory=list)
-    """Periods in which a node must not send to a server: node, server, time of notification, end."""
+    """Drain periods: node, server, time of the node's notification, time of the end of the period.
+
+    From DRAIN_GRACE_SECONDS after the notification until the end, the node must not send to the server.
+    """
     max_lag_seconds: float = 0.0
     """Longest delay of the driver's event loop."""
 
@@ -95,7 +101,7 @@
         yield from self._drain_violations()
 
     def _node_was_killed(self, request: ClientRequest) -> bool:
-        """Return whether the node was killed while the request may have been in flight there."""
+        """Return whether a request's node was killed while the request may have been in flight."""
         end = request.sent_at + request.deadline_seconds + ANSWER_GRACE_SECONDS
         return any(
             request.sent_at - 0.1 <= killed_at <= end + 0.1 for killed_at in self.kill_times[request.node]
@@ -109,7 +115,9 @@
                 yield Violation("lost", request.request_id, f"no response to {request}")
             elif request.request_id in self.read_request_ids or self.attempts[request.request_id]:
                 yield Violation(
-                    "lost", request.request_id, f"connection closed after the node read {request}"
+                    "lost",
+                    request.request_id,
+                    f"connection closed without a response after the node read {request}",
                 )
             return
         assert request.answered_at is not None
@@ -121,27 +129,35 @@
             - self.max_lag_seconds
         )
         if late_seconds > 0:
-            yield Violation("lost", request.request_id, f"response {late_seconds:.3f} s too late: {request}")
+            yield Violation(
+                "lost", request.request_id, f"response {late_seconds:.3f} s too late to {request}"
+            )
         if request.status == 200 and self.request_ids_by_body.get(request.body) != request.request_id:
             yield Violation(
-                "lost", request.request_id, f"no server sent this response: {request.body[:60]!r}"
+                "lost",
+                request.request_id,
+                f"no server sent the response to the request: {request.body[:60]!r}",
             )
         executed = [attempt for attempt in self.attempts[request.request_id] if attempt.may_have_run]
         if request.status in (429, 503) and request.at_most_once and executed:
             yield Violation(
                 "duplicate",
                 request.request_id,
-                f"rejected with {request.status}, though servers may have executed it: {executed}",
+                f"request rejected with {request.status}, though servers may have executed it: {executed}",
             )
 
     def _attempt_violations(self, request: ClientRequest) -> Iterator[Violation]:
         attempts = self.attempts[request.request_id]
         if request.at_most_once and sum(attempt.may_have_run for attempt in attempts) > 1:
-            yield Violation("duplicate", request.request_id, f"executed more than once: {attempts}")
+            yield Violation(
+                "duplicate", request.request_id, f"request may have been executed more than once: {attempts}"
+            )
         for earlier, later in pairwise(attempts):
             if earlier.ended_at is None or earlier.ended_at > later.received_at + self.max_lag_seconds:
                 yield Violation(
-                    "duplicate", request.request_id, f"two attempts in flight at once: {earlier}, {later}"
+                    "duplicate",
+                    request.request_id,
+                    f"two attempts of the request in flight at once: {earlier}, {later}",
                 )
         for attempt in attempts:
             if (
@@ -151,14 +167,16 @@
             ):
                 late_seconds = attempt.received_at - request.disconnected_at
                 yield Violation(
-                    "lost", request.request_id, f"sent {late_seconds:.3f} s after its client disconnected"
+                    "lost",
+                    request.request_id,
+                    f"attempt sent {late_seconds:.3f} s after the client disconnected",
                 )
             left_seconds = request.sent_at + request.deadline_seconds - attempt.received_at
             if attempt.timeout_s > left_seconds + DEADLINE_TOLERANCE_SECONDS + self.max_lag_seconds:
                 yield Violation(
                     "deadline",
                     request.request_id,
-                    f"stated timeout of {attempt.timeout_s:.3f} s with {left_seconds:.3f} s left",
+                    f"attempt stated {attempt.timeout_s:.3f} s in X-Deadline with {left_seconds:.3f} s left",
                 )
 
     def _drain_violations(self) -> Iterator[Violation]:
@@ -172,5 +190,7 @@
                     if begin < attempt.received_at < end:
                         late_seconds = attempt.received_at - begin
                         yield Violation(
-                            "drain", request_id, f"sent to {attempt.server} {late_seconds:.3f} s too late"
+                            "drain",
+                            request_id,
+                            f"attempt sent to drained {attempt.server} {late_seconds:.3f} s too late",
                         )
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -1,4 +1,4 @@
-"""Servers of the soak, fault proxies in front of them, and agents that send endpoint lists to nodes."""
+"""Servers of the soak, fault proxies in front of the servers, and agents that send endpoint lists."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
     "garbage": b"HTTP/1.1 20\x00 ?\r\n\r\n",
     "trailer": b"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nX-Not-Run: 1\r\n\r\n",
 }
-"""Responses that keep the connection open, by the behaviour of a server that fails requests."""
+"""Responses of servers that fail requests on connections that stay open, by the server's behaviour."""
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection unless it has ended."""
+    """Reset a TCP connection unless the connection has ended."""
     if writer.get_extra_info("socket") is None:
         return
-    with suppress(OSError, RuntimeError, ValueError):  # ValueError if the descriptor is closed already
+    # setsockopt raises ValueError if the descriptor of the socket is closed already.
+    with suppress(OSError, RuntimeError, ValueError):
         connection_socket = writer.get_extra_info("socket")
         connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     writer.transport.abort()
@@ -47,14 +48,15 @@
 
 
 class ServerProtocol(asyncio.StreamReaderProtocol):
-    """A connection of a server that records when it ended, even if the handler notices that later."""
+    """A server's connection that records its end time, even if its handler notices the end later."""
 
     def __init__(self, handler: ConnectionHandler) -> None:
         super().__init__(asyncio.StreamReader(), lambda reader, writer: handler(self, reader, writer))
-        self.ended_at: float | None = None  # monotonic seconds; None while the connection is open
+        # monotonic time of the connection's end, in seconds; None while the connection is open
+        self.ended_at: float | None = None
 
     def eof_received(self) -> bool:
-        """Record the time at which the client ended its sending."""
+        """Record the time at which the peer ended its sending."""
         self._record_end()
         return bool(super().eof_received())
 
@@ -69,7 +71,7 @@
 
 
 class Server:
-    """Answers requests according to its behaviour, and records each request that it received completely."""
+    """A server that answers requests by its behaviour, and records each completely received request."""
 
     BEHAVIOURS = (
         "serve",
@@ -85,13 +87,14 @@
         "odd",
         "trailer",
     )
-    """Names of the ways in which a server answers seven of ten requests; it serves the others.
-
-    `serve` sends a complete response, and `slow` sends it after a delay. `hang` sends nothing, `reset` resets
-    the connection instead, and `cut` resets it within the response. `no_length` sends a response that the end
-    of the connection delimits, and `close` closes the connection after a complete one. `refuse` states that
-    the request was not executed; `trailer` states it in a trailer only. `error`, `garbage` and `odd` send a
-    response that is an error, malformed or unusual.
+    """Names of a server's behaviours, which apply to seven of ten requests; the server serves the others.
+
+    `serve` sends a complete response, and `slow` sends a complete response after a delay. `hang` sends
+    nothing, `reset` resets the connection without a response, and `cut` resets the connection within the
+    response. `no_length` sends a response that the end of the connection delimits, and `close` closes the
+    connection after a complete response. `refuse` states in a header that the request was not executed;
+    `trailer` states so in a trailer only. `error`, `garbage` and `odd` send a response that is an error,
+    malformed or unusual.
     """
 
     def __init__(self, name: str, observations: Observations, seed: int) -> None:
@@ -106,7 +109,7 @@
         self._response_count = 0
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free port for connections of the server's proxy."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: ServerProtocol(self._handle_connection), "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
@@ -137,7 +140,7 @@
     async def _respond(
         self, request_id: str, attempt: Attempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer a request, or fail it; return False if the connection ends after this request."""
+        """Answer or fail a request by the server's behaviour; return False if the connection ends then."""
         self._response_count += 1
         body = f"{self.name} {self._response_count} for {request_id}".encode()
         self._observations.request_ids_by_body[body] = request_id
@@ -146,7 +149,8 @@
         if behaviour == "slow":
             await asyncio.sleep(self._random.uniform(0.1, 0.5))
         elif behaviour == "hang":
-            await reader.read(1)  # until the node closes the connection
+            # The read returns when the node closes the connection.
+            await reader.read(1)
             return False
         with_length = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         without_length = b"HTTP/1.1 200 OK\r\n\r\n" + body
@@ -169,7 +173,7 @@
         return False
 
     def _failure_response(self, behaviour: str) -> bytes:
-        """Return the response of a behaviour that fails requests on open connections; empty for any other."""
+        """Return the response of a behaviour that keeps the connection open; empty for a normal response."""
         if behaviour == "odd":
             return self._unusual_response()
         return FAILURE_RESPONSES.get(behaviour, b"")
@@ -199,17 +203,17 @@
 class FaultProxy:
     """A TCP proxy in front of a server, which injects faults into the server's connections.
 
-    The fault `silent` discards what the server sends; `refuse` resets new connections. The proxy never delays
-    data to the server, so that the times at which the server receives requests are accurate.
+    The fault `silent` discards what the server sends; the fault `refuse` resets new connections. The proxy
+    never delays data to the server, so that the times at which the server receives requests are accurate.
     """
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.fault = ""  # name of the active fault; empty for none
+        self.fault = ""  # name of the proxy's active fault; empty without a fault
         self.port = 0
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free port for connections of nodes."""
         listener = await asyncio.start_server(self._forward_connection, "127.0.0.1", 0)
         self.port = listener.sockets[0].getsockname()[1]
 
@@ -238,41 +242,43 @@
 
 
 class DiscoveryAgent:
-    """A discovery agent of one node; the node's configurations name one of its two agents."""
+    """A discovery agent of one node, whose configuration names one of the node's two agents."""
 
     def __init__(self) -> None:
         self.port = 0
         self.version = 10
-        self.is_down = False  # whether new watches wait for their list
-        self.silent_since: float | None = None  # when open watches became silent; None after a new watch
+        self.is_down = False  # whether new watches wait for the endpoint list until the agent is up again
+        # monotonic time at which the agent's open watches became silent; None once a newer watch has its list
+        self.silent_since: float | None = None
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self._complete_list: list[dict[str, Any]] = []
         self._watches: set[asyncio.StreamWriter] = set()
         self._silent_watches: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on a free port."""
+        """Listen on a free port for watches of the node."""
         server = await asyncio.start_server(self._serve_watch, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
 
     def publish(self, version: int, entries: list[dict[str, Any]], changed: list[dict[str, Any]]) -> None:
-        """Store a complete list for new watches, and send its changed entries on the open ones."""
+        """Store a complete endpoint list for new watches, and send its changed entries on open watches."""
         self.version, self._complete_list = version, entries
         for writer in self._watches - self._silent_watches:
             self._send_line(writer, {"version": version, "full": False, "servers": changed})
 
     def _send_line(self, writer: asyncio.StreamWriter, document: dict[str, Any] | None) -> None:
         line = (json.dumps(document).encode() if document else b"") + b"\n"
-        with suppress(OSError, RuntimeError):  # the transport may be closed already
+        # A write raises OSError or RuntimeError if the transport of the watch is closed already.
+        with suppress(OSError, RuntimeError):
             writer.write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def silence_watches(self) -> None:
-        """Send nothing more on the watches that are open now."""
+        """Send no more data on the watches that are open at present."""
         self.silent_since = time.monotonic()
         self._silent_watches |= self._watches
 
     def reset_watches(self) -> None:
-        """Reset the connections of all watches."""
+        """Reset the connections of all watches of this agent."""
         for writer in list(self._watches):
             reset(writer)
 
--- a/soak/shims.py
+++ b/soak/shims.py
@@ -1,9 +1,9 @@
 """Runs the node's program with shims that change the wall clock and make system calls fail on command.
 
 `python soak/shims.py CONTROL_FILE` runs the node in the same process. It replaces the wall clock, the
-listening socket and the event loop by shims that read the control file before each call. A test controls them
-through a `Faults` object on the same file. The shims need no compiler, and they do not change the monotonic
-clock.
+listening socket and the event loop by shims that read the control file before each call. A test controls the
+shims through a `Faults` object on the control file. The shims need no compiler, and they do not change the
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-# Signed 64-bit integers of the control file, in this order.
+# names of the signed 64-bit integers in the control file, in the order of the file
 FIELDS = ("wall_offset_ms", "accept_errno", "connect_errno", "connect_port", "accepts_failed")
 LAYOUT = struct.Struct(f"<{len(FIELDS)}q")
 ROOT = Path(__file__).parent.parent
@@ -27,8 +27,8 @@
     """The control file of one node's shims; each field is an integer, 0 if there is no fault.
 
     `wall_offset_ms` is added to the wall clock. `accept_errno` and `connect_errno` are the error numbers that
-    the calls fail with; `connect_port` limits the latter to one port unless it is 0. `accepts_failed` counts
-    the calls that failed.
+    accept and connect calls fail with. `connect_port` limits failing connects to one port unless it is 0.
+    `accepts_failed` counts the accept calls that failed.
     """
 
     def __init__(self, path: Path, create: bool = True) -> None:
@@ -39,23 +39,23 @@
             self._memory = mmap.mmap(file.fileno(), LAYOUT.size)
 
     def get(self, field: str) -> int:
-        """Return the value of a field, by its name in `FIELDS`."""
+        """Return the value of a field of the control file, by the field's name in `FIELDS`."""
         return int(LAYOUT.unpack_from(self._memory)[FIELDS.index(field)])
 
     def set(self, **values: int) -> None:
-        """Set fields, by their names in `FIELDS`."""
+        """Set fields of the control file, by the fields' names in `FIELDS`."""
         for field, value in values.items():
             struct.pack_into("<q", self._memory, 8 * FIELDS.index(field), value)
 
     def command(self) -> list[str]:
-        """Return the command that starts the node with these shims."""
+        """Return the command that starts the node with shims that read this control file."""
         return [sys.executable, str(Path(__file__)), str(self.path)]
 
 
 def install(faults: Faults) -> None:
-    """Replace the wall clock, the sockets and the event loop of this process.
+    """Replace the wall clock, the sockets and the event loop of this process by shims.
 
-    Must be called before any module of the node is imported.
+    The caller must not have imported any module of the node before.
     """
     import uvloop
 
@@ -64,7 +64,7 @@
     time.time = lambda: real_time() + faults.get("wall_offset_ms") / 1000
 
     class FaultySocket(socket.socket):
-        """A socket whose accept fails while the control file has an error number for it."""
+        """A socket whose accept fails while `accept_errno` in the control file is not 0."""
 
         def accept(self) -> tuple[socket.socket, Any]:
             if error_number := faults.get("accept_errno"):
@@ -73,7 +73,7 @@
             return super().accept()
 
     class FaultyLoop(uvloop.Loop):
-        """An event loop whose connects fail while the control file has an error number for them."""
+        """An event loop whose connects fail while `connect_errno` in the control file is not 0."""
 
         async def create_connection(self, *arguments: Any, **options: Any) -> Any:
             error_number, port = faults.get("connect_errno"), faults.get("connect_port")
