--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -164,7 +164,7 @@
         if self.write_deadline_ns:
             remaining_s = max(0, self.write_deadline_ns - monotonic_ns()) / NS_PER_SECOND
             self._write_deadline_timer = asyncio.get_running_loop().call_later(
-                remaining_s, self.give_up_unwritten
+                remaining_s, self.end_if_unwritten
             )
         self._acquire_connection()
 
@@ -172,7 +172,7 @@
         """End the attempt because its request no longer needs a response."""
         self.end(AttemptResult.CANCELLED)
 
-    def give_up_unwritten(self) -> None:
+    def end_if_unwritten(self) -> None:
         """End the attempt as not sent, unless its request is completely written."""
         if not self._is_written():
             self.end(AttemptResult.NOT_SENT)
@@ -259,7 +259,7 @@
         connection = ServerConnection(self.pool)
         pools = self.pool.pools
         # The socket is counted here until connecting ends; `ServerConnection` counts an open connection.
-        pools.sockets += 1
+        pools.socket_count += 1
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *self.pool.address)
         except asyncio.CancelledError:
@@ -270,7 +270,7 @@
             self._on_connect_failed(pools.classify_connect_error(self.pool.address, error))
             return
         finally:
-            pools.sockets -= 1
+            pools.socket_count -= 1
         self._connect_task = None
         pools.on_connected()
         # The attempt may end in the event loop iteration in which its connection is established.
@@ -326,7 +326,7 @@
         remaining_ns = self.expires_at_ns - now
         is_write_overdue = 0 < self.write_deadline_ns <= now
         if remaining_ns <= 0 or is_write_overdue:
-            self._owner.record_attempt_event(self, Event.ATTEMPT_STOPPED_TOO_LATE)
+            self._owner.record_attempt_event(self, Event.ATTEMPT_STOPPED_AFTER_DEADLINE)
             self.pool.return_unused(connection)
             # The server is not at fault for a missed write deadline, nor for a wait in this process.
             is_own_delay = is_write_overdue or self._permission_timer is not None
--- a/moleport/node/attempt_supervisor.py
+++ b/moleport/node/attempt_supervisor.py
@@ -101,11 +101,11 @@
         if attempt.pool.is_retired:
             self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_REMOVED)
             return WritePermission.DENIED
-        if self._hold_detector.is_settling():
+        if self._hold_detector.may_have_unread_input():
             # After a hold, an update about the server's drain may be unread and the drain grace be over.
             self.record_attempt_event(attempt, Event.ATTEMPT_DELAYED_AFTER_STALL)
             return WritePermission.WAIT
-        if request.client_left_at_ns or request.client_request.client.has_disconnected():
+        if request.half_closed_at_ns or request.client_request.client.has_disconnected():
             self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_CLIENT_DISCONNECTED)
             self._requests.on_client_half_closed(request.request_number)
             return WritePermission.DENIED
@@ -138,14 +138,14 @@
             other_attempt_count=len(request.attempts) - 1,
             is_answered=request.is_answered,
             since_execution_ns=now - request.first_execution_ns if request.first_execution_ns else None,
-            since_client_disconnect_ns=now - request.client_left_at_ns if request.client_left_at_ns else None,
+            since_client_disconnect_ns=now - request.half_closed_at_ns if request.half_closed_at_ns else None,
             since_endpoint_removal_ns=now - pool.retired_at_ns if pool.is_retired else None,
             drain_grace_ns=self._drain_grace_ns,
             timeout_ns=timeout_ns,
             remaining_ns=request.client_request.deadline_ns - now,
         )
         for invariant in violated_invariants(write):
-            self._telemetry.violate(
+            self._telemetry.record_violation(
                 invariant,
                 request=request.request_number,
                 id=request.client_request.request_id,
@@ -155,7 +155,7 @@
 
     def on_written_ended_unsent(self, attempt: Attempt, result: AttemptResult) -> None:
         """Report the violation that an attempt was ended as unsent after its request was written."""
-        self._telemetry.violate(
+        self._telemetry.record_violation(
             Invariant.RESULT_MATCHES_WRITE,
             request=attempt.request_number,
             attempt=attempt.index,
--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -121,7 +121,7 @@
         if self._is_closing:
             self._discard(data)
             return
-        earliest_arrival_ns = self._context.dispatcher.hold_detector.earliest_arrival()
+        earliest_arrival_ns = self._context.dispatcher.hold_detector.earliest_arrival_ns()
         self._parser.feed(
             data,
             min(earliest_arrival_ns, self._earliest_unread_arrival_ns)
--- a/moleport/node/connection_pool.py
+++ b/moleport/node/connection_pool.py
@@ -11,9 +11,9 @@
     from moleport.node.connection_pools import ConnectionPools
     from moleport.node.server_connection import ServerConnection
 
-# An idle connection is not reused until it has been idle for COOL_DOWN_NS, because a duplicate of the last
-# response may still arrive on the connection.
-COOL_DOWN_NS = 5_000_000
+# An idle connection is not reused until it has been idle for MIN_REUSE_DELAY_NS, because a duplicate of the
+# last response may still arrive on the connection.
+MIN_REUSE_DELAY_NS = 5_000_000
 
 
 class ConnectionPool:
@@ -45,12 +45,12 @@
         """Remove and return the most recently used connection that can carry a request, if there is one.
 
         Connections that are closed, have been idle for too long or have unread data are removed and closed
-        during the search. Connections that became idle less than COOL_DOWN_NS ago are left in the pool.
+        during the search. Connections that became idle less than MIN_REUSE_DELAY_NS ago are left in the pool.
         """
         now = monotonic_ns()
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[index]
-            if connection.idle_since_ns > now - COOL_DOWN_NS:
+            if connection.idle_since_ns > now - MIN_REUSE_DELAY_NS:
                 continue
             del self.idle[index]
             if (
@@ -86,7 +86,7 @@
 
     def on_disconnected(self, connection: ServerConnection) -> None:
         """Remove a closed connection from the pool and from the socket count."""
-        self.pools.sockets -= 1
+        self.pools.socket_count -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -110,7 +110,7 @@
         self.retired_at_ns = monotonic_ns()
         self.close_idle()
         for attempt in list(self.unsent):
-            attempt.give_up_unwritten()
+            attempt.end_if_unwritten()
 
 
 def _idle_since_ns(connection: ServerConnection) -> int:
--- a/moleport/node/connection_pools.py
+++ b/moleport/node/connection_pools.py
@@ -7,7 +7,7 @@
 from time import monotonic_ns
 
 from moleport.node.connection_pool import ConnectionPool
-from moleport.node.error_codes import Fault, fault_of
+from moleport.node.error_codes import Fault, classify_error
 from moleport.policy.interface import EndpointId
 from moleport.units import NS_PER_SECOND
 
@@ -27,7 +27,7 @@
         `max_sockets` limits the connections to servers, open or connecting. `idle_timeout_ns` is the time
         after which a server closes an idle connection.
         """
-        self.sockets = 0  # number of connections to servers that are open or connecting
+        self.socket_count = 0  # number of connections to servers that are open or connecting
         self.connect_timeout_ns = connect_timeout_ns
         self.max_idle_ns = int(idle_timeout_ns * IDLE_TIMEOUT_FRACTION)
         # Pools that may have idle connections, as an ordered set.
@@ -84,7 +84,7 @@
         The event loop frees the descriptor of the closed connection in a later iteration, so the limit may
         be exceeded until then.
         """
-        return self.sockets < self._max_sockets or self.close_longest_idle()
+        return self.socket_count < self._max_sockets or self.close_longest_idle()
 
     def close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest, and return whether there was one.
@@ -109,7 +109,7 @@
         route, with no successful connection in between; from then on the network is at fault. With a single
         pool, or none, the network is at fault at once.
         """
-        fault = fault_of(error)
+        fault = classify_error(error)
         if fault is not Fault.PATH:
             return fault
         self._unreachable_addresses.add(address)
--- a/moleport/node/connection_table.py
+++ b/moleport/node/connection_table.py
@@ -189,7 +189,7 @@
 
     def _sweep(self) -> None:
         """Close the connections that exceed the time limit of their state."""
-        if self._hold_detector.is_settling():
+        if self._hold_detector.may_have_unread_input():
             # The event loop must read data that clients sent during a hold before it applies the time limits.
             self._loop.call_later(SWEEP_RETRY_SECONDS, self._sweep)
             return
--- a/moleport/node/consistency_check.py
+++ b/moleport/node/consistency_check.py
@@ -53,7 +53,7 @@
         """Schedule the next check, and check the state of the node now unless a hold has just ended."""
         self.start()
         # Just after a hold, timers that end requests and attempts may be due but not have run yet.
-        if not self._hold_detector.is_settling():
+        if not self._hold_detector.may_have_unread_input():
             self.check()
 
     def check(self) -> None:
@@ -71,7 +71,9 @@
                 if attempt.expires_at_ns < latest_deadline_ns:
                     overdue.add((request.request_number, index))
         for request_number, attempt_index in overdue - self._reported_overdue:
-            self._telemetry.violate(Invariant.ENDED_IN_TIME, request=request_number, attempt=attempt_index)
+            self._telemetry.record_violation(
+                Invariant.ENDED_IN_TIME, request=request_number, attempt=attempt_index
+            )
         self._reported_overdue = overdue
 
     def _check_attempt_counts(self) -> None:
@@ -80,5 +82,5 @@
         policy_count = self._policy_attempt_count()
         excess_count = policy_count - node_count
         if excess_count and excess_count != self._excess_count:
-            self._telemetry.violate(Invariant.ATTEMPTS_AGREE, node=node_count, policy=policy_count)
+            self._telemetry.record_violation(Invariant.ATTEMPTS_AGREE, node=node_count, policy=policy_count)
         self._excess_count = excess_count
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -58,10 +58,10 @@
         on_failed: Callable[[], None],
         response_timeout_s: float = AGENT_RESPONSE_TIMEOUT_S,
     ) -> None:
-        """Prepare for a watch of `address` (host, port); `watch` opens it on the running event loop.
+        """Prepare for a watch of `address` (host, port); `open_watch` opens it on the running event loop.
 
         The first watch requests the updates after `version`. `on_update` is called with each valid update,
-        `on_failed` once for each watch that ends in another way than by `close` or `move`.
+        `on_failed` once for each watch that ends in another way than by `close` or `change_address`.
         """
         self.response_timeout_s = response_timeout_s
         self._address = address
@@ -73,14 +73,14 @@
         self._partial_update: _PartialUpdate | None = None
         self._loop = asyncio.get_running_loop()
 
-    def watch(self) -> None:
+    def open_watch(self) -> None:
         """Open a watch, unless one is open or being opened."""
         if self._watch is not None:
             return
         self._watch = WatchConnection(self)
         self._connect_task = self._loop.create_task(self._open(self._watch))
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Close the watch and open one at another address (host, port), if the address has changed.
 
         The end of the old watch is not reported. Version numbers are specific to an address, so the new
@@ -92,7 +92,7 @@
         self._address = address
         self._version = 0
         self.close()
-        self.watch()
+        self.open_watch()
 
     def close(self) -> None:
         """Close the watch without reporting its end, and discard an update that is not completely parsed."""
--- a/moleport/node/dispatcher.py
+++ b/moleport/node/dispatcher.py
@@ -40,7 +40,7 @@
         self._config = config
         self._pools = pools
         self._balancer = Balancer(config.policy_settings, config.seed)
-        self._notices = self._balancer.notices
+        self._ejection_notices = self._balancer.ejection_notices
         self._events: deque[api.Event] = deque()
         self._is_dispatching = False
         # Live view of the ids of all endpoints that have a connection pool.
@@ -86,7 +86,7 @@
             )
         log.info("discovery address of the new configuration is %s:%d", *config.discovery_address)
         self._config = with_new_address
-        self.endpoint_list.discovery.move(config.discovery_address)
+        self.endpoint_list.discovery.change_address(config.discovery_address)
 
     async def wait_until_endpoints_known(self) -> None:
         """Wait until discovery has sent its endpoint list, the watch has failed or a timeout has passed."""
@@ -114,8 +114,8 @@
             while self._events:
                 event = self._events.popleft()
                 self._execute_actions(self._handle(event))
-                while self._notices:
-                    self._report_notice(self._notices.popleft())
+                while self._ejection_notices:
+                    self._report_notice(self._ejection_notices.popleft())
         finally:
             self._is_dispatching = False
 
@@ -156,7 +156,7 @@
         elif isinstance(event, api.AttemptOutcome):
             self.requests.on_policy_failed(event.request_id)
         elif isinstance(event, api.EndpointUpdate):
-            self.endpoint_list.resync_later()
+            self.endpoint_list.schedule_resync()
         return []
 
     def _execute_actions(self, actions: list[api.Action]) -> None:
@@ -180,4 +180,4 @@
             if pool is not None:
                 pool.close_idle()
         elif isinstance(action, api.WatchEndpoints):
-            self.endpoint_list.discovery.watch()
+            self.endpoint_list.discovery.open_watch()
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -51,7 +51,9 @@
         self._dispatch_event = dispatch_event
         self._loop = asyncio.get_running_loop()
         self._known: dict[str, DiscoveredEndpoint] = {}  # endpoints that the policy knows, by id
-        self._pending: dict[str, DiscoveredEndpoint] = {}  # changed endpoints still to be applied, by id
+        self._pending_endpoints: dict[
+            str, DiscoveredEndpoint
+        ] = {}  # changed endpoints still to be applied, by id
         self._next_slice: asyncio.Handle | None = None
         self._resync_timer: asyncio.TimerHandle | None = None
         self._start_times = ServerStartTimes()
@@ -72,7 +74,7 @@
         self._start_times.record(self._cached_endpoints, monotonic_ns())
         self._apply_update(EndpointUpdateKind.CACHED, self._cached_endpoints)
         if self._is_push_mode:
-            self.discovery.watch()
+            self.discovery.open_watch()
         else:
             self._is_synced.set()
 
@@ -94,7 +96,7 @@
         self._start_times.end_initial_list()
         kind = EndpointUpdateKind.SNAPSHOT if update.is_snapshot else EndpointUpdateKind.DELTA
         self._apply_update(kind, update.endpoints)
-        if not self._pending:
+        if not self._pending_endpoints:
             self._is_synced.set()
 
     def _on_watch_failed(self) -> None:
@@ -102,18 +104,18 @@
         self._is_synced.set()
         self._telemetry.count(Event.WATCH_FAILED)
         if self._is_push_mode:
-            self._loop.call_later(self._backoff.next_delay_seconds(), self.discovery.watch)
+            self._loop.call_later(self._backoff.next_delay_seconds(), self.discovery.open_watch)
             return
-        if self._pending:
+        if self._pending_endpoints:
             # All pending endpoints are applied before the end of the watch is reported: the policy would
             # interpret an update after the report as a sign that a watch is open.
-            self._apply_entries(EndpointUpdateKind.DELTA, list(self._pending.values()))
-            self._pending.clear()
+            self._apply_entries(EndpointUpdateKind.DELTA, list(self._pending_endpoints.values()))
+            self._pending_endpoints.clear()
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.FAILED, ()))
 
     # Methods that apply updates to the endpoint list, the policy and the connection pools.
 
-    def resync_later(self) -> None:
+    def schedule_resync(self) -> None:
         """Schedule a resync of the policy after `RESYNC_DELAY_S`, because it has failed on an update."""
         if self._resync_timer is None:
             self._resync_timer = self._loop.call_later(RESYNC_DELAY_S, self._resync_policy)
@@ -133,11 +135,11 @@
         latest = {endpoint.id: endpoint for endpoint in endpoints}
         absent: list[DiscoveredEndpoint] = []
         if kind is not EndpointUpdateKind.DELTA:
-            self._pending.clear()
+            self._pending_endpoints.clear()
             absent = self._removed_except(latest)
-        elif self._pending:
+        elif self._pending_endpoints:
             for entry_id in latest:
-                self._pending.pop(entry_id, None)
+                self._pending_endpoints.pop(entry_id, None)
         # The cached list is applied before requests are accepted, so it is not divided into slices.
         if len(latest) <= SLICE_ENDPOINT_COUNT or kind is EndpointUpdateKind.CACHED:
             self._apply_entries(kind, list(latest.values()), absent)
@@ -164,22 +166,22 @@
         # Known endpoints are applied before new ones: they are in use, and a restarted one is in slow start.
         changed.sort(key=lambda endpoint: endpoint.id not in self._known)
         leaving = [endpoint for endpoint in changed if endpoint.state is not EndpointState.READY]
-        self._pending.update(
+        self._pending_endpoints.update(
             (endpoint.id, endpoint) for endpoint in changed if endpoint.state is EndpointState.READY
         )
         self._apply_entries(EndpointUpdateKind.DELTA, absent + leaving)
-        if self._pending and self._next_slice is None:
+        if self._pending_endpoints and self._next_slice is None:
             self._next_slice = self._loop.call_soon(self._apply_next_slice)
 
     def _apply_next_slice(self) -> None:
         """Apply a slice of the pending entries, and schedule the next one in another loop iteration."""
-        entry_ids = list(islice(self._pending, SLICE_ENDPOINT_COUNT))
+        entry_ids = list(islice(self._pending_endpoints, SLICE_ENDPOINT_COUNT))
         # A later update may have replaced all endpoints that were pending when this slice was scheduled.
         if entry_ids:
             self._apply_entries(
-                EndpointUpdateKind.DELTA, [self._pending.pop(entry_id) for entry_id in entry_ids]
+                EndpointUpdateKind.DELTA, [self._pending_endpoints.pop(entry_id) for entry_id in entry_ids]
             )
-        if self._pending:
+        if self._pending_endpoints:
             self._next_slice = self._loop.call_soon(self._apply_next_slice)
         else:
             self._next_slice = None
@@ -217,7 +219,7 @@
         for endpoint_id in retired_ids:
             self._pools.retire_endpoint(endpoint_id)
         # The start times of new servers that are still pending must be kept; `_known` lacks these servers.
-        if not self._pending:
+        if not self._pending_endpoints:
             self._start_times.forget_removed(self._known)
 
     def _to_policy_endpoint(self, endpoint: DiscoveredEndpoint) -> api.Endpoint:
--- a/moleport/node/error_codes.py
+++ b/moleport/node/error_codes.py
@@ -44,7 +44,7 @@
 LOCAL_FAULTS = frozenset((Fault.DESCRIPTORS, Fault.MACHINE))
 
 
-def fault_of(error: BaseException | None) -> Fault:
+def classify_error(error: BaseException | None) -> Fault:
     """Return the party at fault for an error: the peer, if there is no error or its number is unknown."""
     number = error.errno if isinstance(error, OSError) else None
     if number is None:
--- a/moleport/node/graceful_shutdown.py
+++ b/moleport/node/graceful_shutdown.py
@@ -1,6 +1,6 @@
 """The steps of a graceful shutdown on SIGTERM, in order.
 
-1. `/up` answers 503. For `serve_on_s` all other requests are accepted as before SIGTERM, on existing and on
+1. `/up` answers 503. For `lame_duck_s` all other requests are accepted as before SIGTERM, on existing and on
    new connections.
 2. Each response closes its connection, and the clients in the kernel's accept queue are accepted.
 3. The listening socket is closed.
@@ -18,7 +18,7 @@
 from moleport.node.listener import ACCEPT_BATCH_CONNECTIONS, BACKLOG_CONNECTIONS, Listener
 from moleport.units import NS_PER_SECOND
 
-MIN_SERVE_ON_SECONDS = 0.6  # new connections continue to arrive for up to 0.4 s after SIGTERM
+MIN_LAME_DUCK_SECONDS = 0.6  # new connections continue to arrive for up to 0.4 s after SIGTERM
 MAX_DEADLINE_SECONDS = 3.0  # longest request deadline that the platform waits for before it sends SIGKILL
 KILL_DELAY_SECONDS = 0.7  # minimum time from the end of the longest request deadline to SIGKILL
 KILL_MARGIN_SECONDS = 0.3  # safety margin between the 504 for unanswered requests and SIGKILL
@@ -28,7 +28,7 @@
 class ShutdownPlan(NamedTuple):
     """The times of the steps of a shutdown, in s after the call of `shut_down`."""
 
-    serve_on_s: float
+    lame_duck_s: float
     """The time until which requests are accepted as before the shutdown."""
     finish_within_s: float
     """The time at which the requests that are still unanswered get a 504."""
@@ -38,7 +38,7 @@
     """Return the times for a node's shutdown.
 
     The nodes that take over the traffic may be restarting too, so the node accepts requests for as long as it
-    can still answer them in time, but for at least `MIN_SERVE_ON_SECONDS`. A response is in time within the
+    can still answer them in time, but for at least `MIN_LAME_DUCK_SECONDS`. A response is in time within the
     latency objective of its class, or, if late responses of the class have a weight, within the longest
     deadline of all classes. The class with the longest such time determines the plan.
     """
@@ -50,10 +50,10 @@
     ]
     longest_deadline_s = min(MAX_DEADLINE_SECONDS, max(config.max_deadlines_ns) / NS_PER_SECOND)
     finish_within_s = longest_deadline_s + KILL_DELAY_SECONDS - KILL_MARGIN_SECONDS
-    serve_on_s = max(
-        MIN_SERVE_ON_SECONDS, finish_within_s - min(longest_deadline_s, max(useful_response_times_s))
+    lame_duck_s = max(
+        MIN_LAME_DUCK_SECONDS, finish_within_s - min(longest_deadline_s, max(useful_response_times_s))
     )
-    return ShutdownPlan(serve_on_s, finish_within_s)
+    return ShutdownPlan(lame_duck_s, finish_within_s)
 
 
 async def shut_down(listener: Listener, dispatcher: Dispatcher, plan: ShutdownPlan) -> None:
@@ -61,7 +61,7 @@
     loop = asyncio.get_running_loop()
     end_time = loop.time() + plan.finish_within_s
     listener.context.is_stopping = True
-    await asyncio.sleep(plan.serve_on_s)
+    await asyncio.sleep(plan.lame_duck_s)
 
     listener.context.is_draining = True
     await _accept_waiting_clients(listener, end_time)
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -6,7 +6,7 @@
 
 The delay of a heartbeat beyond its period is compared with two thresholds. A delay of more than
 `HEARTBEAT_PERIOD_NS` is added to the sum of holds (`total_hold_ns`). A delay of `MIN_HOLD_NS` or more is
-counted as a `LOOP_HELD` event.
+counted as a `LOOP_STALLED` event.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         delay_ns = self._heartbeat_delay_ns()
         self._ended_holds_ns = self.total_hold_ns()
         if delay_ns >= MIN_HOLD_NS:
-            self._telemetry.count(Event.LOOP_HELD, ms=delay_ns // NS_PER_MS)
+            self._telemetry.count(Event.LOOP_STALLED, ms=delay_ns // NS_PER_MS)
             if self._hold_began_ns is None:
                 self._hold_began_ns = self._last_heartbeat_ns
             self._loop.call_later(SETTLE_DELAY_S, self._on_settled)
@@ -67,11 +67,11 @@
             return self._ended_holds_ns
         return self._ended_holds_ns + delay_ns
 
-    def is_settling(self) -> bool:
+    def may_have_unread_input(self) -> bool:
         """Return whether a hold has just ended and data that arrived in it may still be unread."""
         return self._hold_began_ns is not None or self._heartbeat_delay_ns() >= MIN_HOLD_NS
 
-    def earliest_arrival(self) -> int:
+    def earliest_arrival_ns(self) -> int:
         """Return the earliest time, in monotonic ns, at which data that is read now may have arrived.
 
         The returned time is exact to within `MIN_HOLD_NS` plus `HEARTBEAT_PERIOD_NS`: a hold that delays the
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -12,7 +12,7 @@
 from moleport.node.client_connection import ClientConnection, ClientContext
 from moleport.node.connection_table import ConnectionTable
 from moleport.node.dispatcher import Dispatcher
-from moleport.node.error_codes import Fault, fault_of
+from moleport.node.error_codes import Fault, classify_error
 from moleport.node.kernel_socket import is_readable
 from moleport.telemetry import Event
 
@@ -84,7 +84,7 @@
         if self._socket is None:
             return
         earliest_arrival_ns = self._earliest_queued_arrival_ns = (
-            self._earliest_queued_arrival_ns or self._hold_detector.earliest_arrival()
+            self._earliest_queued_arrival_ns or self._hold_detector.earliest_arrival_ns()
         )
         for _ in range(ACCEPT_BATCH_CONNECTIONS):
             if not self.table.has_free_slot() and not self.table.reclaim_slot(len(self._setup_tasks)):
@@ -121,7 +121,7 @@
         Without the pause the event loop would spin, as the listening socket stays readable.
         """
         self._telemetry.count(Event.ACCEPT_FAILED, errno=error.errno)
-        if fault_of(error) is Fault.DESCRIPTORS or error.errno in (errno.ENOBUFS, errno.ENOMEM):
+        if classify_error(error) is Fault.DESCRIPTORS or error.errno in (errno.ENOBUFS, errno.ENOMEM):
             # Without a freed descriptor, queued clients would wait until a connected client disconnects.
             self.table.reclaim_slot(len(self._setup_tasks))
         self._pause_accepting()
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -72,7 +72,7 @@
     deadline_timer: asyncio.TimerHandle | None = None
     is_answered: bool = False
     # Time (monotonic ns) at which the client's half-close was detected; 0: not detected.
-    client_left_at_ns: int = 0
+    half_closed_at_ns: int = 0
     # Time (monotonic ns) of the write of the first attempt that a server may have executed; 0: none yet.
     first_execution_ns: int = 0
     attempt_count: int = 0  # attempts of the request so far, including those that could not be started
@@ -197,13 +197,13 @@
         continue, as the client may still wait for their response.
         """
         request = self.active.get(request_number)
-        if request is None or request.is_answered or request.client_left_at_ns:
+        if request is None or request.is_answered or request.half_closed_at_ns:
             return
         self._telemetry.count(Event.CLIENT_DISCONNECTED, request=request_number)
-        request.client_left_at_ns = monotonic_ns()
-        self._dispatch_event(api.ClientDisconnected(request_number, is_half_closed=True))
+        request.half_closed_at_ns = monotonic_ns()
+        self._dispatch_event(api.ClientDisconnected(request_number, may_be_half_closed=True))
         for attempt in list(request.attempts.values()):
-            attempt.give_up_unwritten()
+            attempt.end_if_unwritten()
 
     # Methods that send final responses and end requests.
 
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -8,7 +8,12 @@
 import httptools
 
 from moleport.config.node_config import Config
-from moleport.node.http_limits import HEADER_LINE_BYTES, HOP_BY_HOP_HEADERS, MAX_BODY_BYTES, MAX_HEAD_BYTES
+from moleport.node.http_limits import (
+    HEADER_LINE_OVERHEAD_BYTES,
+    HOP_BY_HOP_HEADERS,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+)
 from moleport.node.parsed_request import ParsedRequest
 from moleport.node.request_validation import InvalidRequestError, validate_framing, validate_request
 
@@ -134,7 +139,7 @@
         partial = self._partial
         assert partial is not None
         # The size of the head is also checked here: `_check_size` omits the data slice that completes a head.
-        partial.header_bytes += len(name) + len(value) + HEADER_LINE_BYTES
+        partial.header_bytes += len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
         if partial.header_bytes > MAX_HEAD_BYTES:
             raise InvalidRequestError(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"request head exceeds {MAX_HEAD_BYTES} bytes"
--- a/moleport/node/response_parser.py
+++ b/moleport/node/response_parser.py
@@ -7,7 +7,12 @@
 
 import httptools
 
-from moleport.node.http_limits import HEADER_LINE_BYTES, HOP_BY_HOP_HEADERS, MAX_BODY_BYTES, MAX_HEAD_BYTES
+from moleport.node.http_limits import (
+    HEADER_LINE_OVERHEAD_BYTES,
+    HOP_BY_HOP_HEADERS,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+)
 
 MAX_INTERIM_COUNT = 16  # limit on interim (1xx) responses to one request
 MIN_FINAL_STATUS = HTTPStatus.OK.value  # statuses below MIN_FINAL_STATUS are those of interim responses
@@ -139,7 +144,7 @@
         """
         # The limit in `feed` covers neither a response head that arrives in one piece nor trailers,
         # so the bytes of each header are counted here too.
-        self._header_bytes += len(name) + len(value) + HEADER_LINE_BYTES
+        self._header_bytes += len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
         if self._header_bytes > MAX_HEAD_BYTES:
             self._check_head_size()
         if not self._in_head:
--- a/moleport/node/server_connection.py
+++ b/moleport/node/server_connection.py
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, cast
 
-from moleport.node.error_codes import LOCAL_FAULTS, fault_of
+from moleport.node.error_codes import LOCAL_FAULTS, classify_error
 from moleport.node.response_parser import InvalidResponseError, ResponseParser
 from moleport.policy.interface import AttemptResult
 
@@ -46,7 +46,7 @@
         """Set up the socket and the parser of a new connection."""
         # The cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
         self._transport = transport = cast(asyncio.Transport, transport)
-        self._pool.pools.sockets += 1
+        self._pool.pools.socket_count += 1
         self._parser = ResponseParser()
         tcp_socket = transport.get_extra_info("socket")
         self._poller.register(tcp_socket.fileno(), select.POLLIN)
@@ -93,7 +93,7 @@
         """Remove the lost connection from its pool, and end the attempt that is waiting for a response."""
         self.closed = True
         self._pool.on_disconnected(self)
-        if fault_of(exc) in LOCAL_FAULTS:
+        if classify_error(exc) in LOCAL_FAULTS:
             # The server is not at fault for a local error.
             # A completely written request may have been executed, so its attempt ends as CANCELLED.
             self._fail_attempt(AttemptResult.CANCELLED, if_unwritten=AttemptResult.NOT_SENT)
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -63,7 +63,7 @@
         self._connections = connections = ConnectionHealth(settings.idle_timeout_ns, actions)
         self._outliers = outliers = OutlierDetector(endpoints, random)
         self._subset = subset = EndpointSubset(settings, endpoints, seed)
-        self.notices = outliers.notices
+        self.ejection_notices = outliers.notices
         """Ejections and reinstatements, the oldest first; the caller removes each from the left to log it."""
         self._slow_start = slow_start = SlowStart(settings, random, endpoints, outliers, subset)
         self._registry = EndpointRegistry(endpoints, outliers, slow_start, load_reports)
@@ -180,7 +180,7 @@
     def _mark_closed(self, event: api.ClientDisconnected) -> None:
         active = self._active_requests.get(event.request_id)
         if active is not None:
-            active.is_closed |= not event.is_half_closed
+            active.is_closed |= not event.may_be_half_closed
 
     def _on_client_disconnected(self, now_ns: int, event: api.ClientDisconnected) -> None:
         active = self._active_requests.get(event.request_id)
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -271,7 +271,7 @@
     """
 
     request_id: int
-    is_half_closed: bool = False
+    may_be_half_closed: bool = False
     """Whether the client may have closed only its sending side; it then still gets a final answer."""
 
 
--- a/moleport/telemetry.py
+++ b/moleport/telemetry.py
@@ -57,7 +57,7 @@
     """An attempt was not written because its client had disconnected."""
     ATTEMPT_STOPPED_SERVER_REMOVED = "attempt_stopped_server_removed"
     """An attempt was not written because its server was draining or removed."""
-    ATTEMPT_STOPPED_TOO_LATE = "attempt_stopped_too_late"
+    ATTEMPT_STOPPED_AFTER_DEADLINE = "attempt_stopped_too_late"
     """An attempt was not written because its timeout, or the policy's write deadline, had passed."""
     ATTEMPT_STOPPED_LIMIT = "attempt_stopped_limit"
     """An attempt was not started, as its request had no attempts left or already had its response."""
@@ -73,7 +73,7 @@
     """A connection to a server failed through a fault of the server."""
     POLICY_FAILED = "policy_failed"
     """The policy raised an exception when it handled an event."""
-    LOOP_HELD = "loop_held"
+    LOOP_STALLED = "loop_held"
     """The event loop ran late, as in a process that was stopped for a while."""
     WATCH_FAILED = "watch_failed"
     """A watch or poll of the endpoint list failed."""
@@ -103,7 +103,7 @@
         if self._is_tracing:
             log.info("trace %s", json.dumps({"event": event, **ids}, default=str))
 
-    def violate(self, invariant: str, **ids: object) -> None:
+    def record_violation(self, invariant: str, **ids: object) -> None:
         """Count and log the violation of an invariant, which is a fault of the node itself."""
         self.violations[invariant] += 1
         log.error("invariant violated: %s", json.dumps({"invariant": invariant, **ids}, default=str))
--- a/scale/lists.py
+++ b/scale/lists.py
@@ -203,7 +203,7 @@
         started_at = perf_counter()
         agent.push(data)
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            while node.endpoint_list.discovery._version < version or node.endpoint_list._pending:
+            while node.endpoint_list.discovery._version < version or node.endpoint_list._pending_endpoints:
                 await asyncio.sleep(0)
         measurements[f"{name} applied"] = (perf_counter() - started_at) * 1e3
         measurements[name] = iterations.stop()
--- a/tests/endpoint_entries.py
+++ b/tests/endpoint_entries.py
@@ -57,7 +57,7 @@
 
 async def wait_until_applied(rig: Rig) -> None:
     """Wait until the node has applied the last slice of an update; raises TimeoutError."""
-    await until(lambda: not rig.node.endpoint_list._pending)
+    await until(lambda: not rig.node.endpoint_list._pending_endpoints)
 
 
 def ids(numbers: Iterable[int]) -> set[api.EndpointId]:
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -43,7 +43,7 @@
 
 
 def test_the_most_recently_used_connection_is_reused_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
+    monkeypatch.setattr(connection_pool, "MIN_REUSE_DELAY_NS", 0)
 
     async def test() -> None:
         async with Server("s-1") as server, Rig(configuration(server)) as rig:
@@ -67,7 +67,7 @@
 
     The client of that request would receive the duplicate as its response.
     """
-    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 10**12)
+    monkeypatch.setattr(connection_pool, "MIN_REUSE_DELAY_NS", 10**12)
 
     async def test() -> None:
         writers: list[asyncio.StreamWriter] = []
@@ -80,8 +80,8 @@
             client = await rig.client()
             assert (await client.exchange(request(body=b"one"))).body == b"one"
             assert (await client.exchange(request(body=b"two"))).body == b"two"
-            assert server.connections == 2  # the first connection is still within COOL_DOWN_NS
-            monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
+            assert server.connections == 2  # the first connection is still within MIN_REUSE_DELAY_NS
+            monkeypatch.setattr(connection_pool, "MIN_REUSE_DELAY_NS", 0)
             (pool,) = rig.node._pools._pools.values()
             # Both duplicates are written without a pause, so that the loop cannot read them before the check.
             for connection in pool.idle:
@@ -105,7 +105,7 @@
             for count in (1, 2):
                 assert status(await client.exchange(request())) == 200
                 assert server.connections == count
-            await until(lambda: rig.node._pools.sockets == 0)
+            await until(lambda: rig.node._pools.socket_count == 0)
 
     run(test())
 
@@ -116,7 +116,7 @@
             client = await rig.client()
             assert status(await client.exchange(request())) == 200
             await until(lambda: server.open == 0)
-            assert rig.node._pools.sockets == 0
+            assert rig.node._pools.socket_count == 0
 
     run(test())
 
@@ -133,7 +133,7 @@
             client = await rig.client()
             assert status(await client.exchange(request())) == 200
             writers[0].close()
-            await until(lambda: rig.node._pools.sockets == 0)
+            await until(lambda: rig.node._pools.socket_count == 0)
             assert status(await client.exchange(request("order"))) == 200
 
     run(test())
@@ -220,8 +220,8 @@
             assert not [
                 outcome for outcome in rig.spy.outcomes() if outcome.result is AttemptResult.CONNECT_FAILED
             ]
-            # Idle connections within COOL_DOWN_NS are closed, which takes an iteration of the event loop.
-            await until(lambda: rig.node._pools.sockets <= 2)
+            # Idle connections within MIN_REUSE_DELAY_NS are closed in a later iteration of the event loop.
+            await until(lambda: rig.node._pools.socket_count <= 2)
 
     run(test())
 
@@ -239,7 +239,7 @@
                     client = await rig.client()
                     assert status(await client.exchange(request())) == 200
                     client.writer.close()
-                await until(lambda: not rig.listener.table.connections and not rig.node._pools.sockets)
+                await until(lambda: not rig.listener.table.connections and not rig.node._pools.socket_count)
                 await asyncio.sleep(0)
                 remaining_types = [type(item).__name__ for item in gc.get_objects()]
                 assert (
@@ -312,7 +312,7 @@
             await until(lambda: rig.spy.outcomes())
             await until(lambda: server.connections and not server.open)
             assert not server.seen
-            assert rig.node._pools.sockets == 0 and not rig.node.requests.active
+            assert rig.node._pools.socket_count == 0 and not rig.node.requests.active
 
     run(test())
 
--- a/tests/node/test_departures.py
+++ b/tests/node/test_departures.py
@@ -73,7 +73,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The client of the queued request closes as the attempt ahead of it ends."""
-    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)  # a server connection may be reused at once
+    monkeypatch.setattr(connection_pool, "MIN_REUSE_DELAY_NS", 0)  # a server connection may be reused at once
 
     async def respond_after_delay(_: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.05)
@@ -107,7 +107,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """With one client slot, the requests and the closes of 20 clients wait in the accept queue."""
-    monkeypatch.setattr(connection_pool, "COOL_DOWN_NS", 0)
+    monkeypatch.setattr(connection_pool, "MIN_REUSE_DELAY_NS", 0)
     release = asyncio.Event()
 
     async def respond_when_released(_: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -50,7 +50,7 @@
                 dict.fromkeys(ids(range(2000, 2100)), EndpointState.DRAINING)
                 | dict.fromkeys(ids(range(2100, 2200)), EndpointState.REMOVED)
             )
-            assert rig.node.endpoint_list._pending
+            assert rig.node.endpoint_list._pending_endpoints
             await wait_until_applied(rig)
             changed = [endpoint for event in endpoint_updates(rig)[2:] for endpoint in event.endpoints]
             # Endpoints in use are updated before new ones are added.
@@ -87,7 +87,7 @@
             # A snapshot replaces all pending entries, whether it is applied at once or in slices.
             for count in (3, SLICE_ENDPOINT_COUNT + 1):
                 rig.node.endpoint_list.on_update(update(entries(range(MANY, 2 * MANY))))
-                assert rig.node.endpoint_list._pending
+                assert rig.node.endpoint_list._pending_endpoints
                 rig.node.endpoint_list.on_update(update(entries(range(count))))
                 await wait_until_applied(rig)
                 assert ready_in_policy(rig) == rig.node._ready_endpoint_ids == ids(range(count))
--- a/tests/node/test_large_lists.py
+++ b/tests/node/test_large_lists.py
@@ -269,11 +269,11 @@
                     idle = {pool for pool in pools._pools.values() if pool.idle}
                     assert idle and idle <= set(pools.pools_with_idle_connections)
                     assert len(pools.pools_with_idle_connections) <= 15
-                    open_before, pools._max_sockets = pools.sockets, pools.sockets
+                    open_before, pools._max_sockets = pools.socket_count, pools.socket_count
                     assert pools.ensure_capacity()  # closes the connection that has been idle longest
-                    await until(lambda before=open_before: pools.sockets < before)  # type: ignore[misc]
+                    await until(lambda before=open_before: pools.socket_count < before)  # type: ignore[misc]
                     pools._max_sockets = 400
-                    await until(lambda: not pools.sockets and not pools.pools_with_idle_connections)
+                    await until(lambda: not pools.socket_count and not pools.pools_with_idle_connections)
 
     run(test())
 
--- a/tests/node/test_outcomes.py
+++ b/tests/node/test_outcomes.py
@@ -244,7 +244,9 @@
                     body if expected_status == 200 else b"",
                 )
                 await until(
-                    lambda: not server.open and not rig.node.requests.active and not rig.node._pools.sockets
+                    lambda: not server.open
+                    and not rig.node.requests.active
+                    and not rig.node._pools.socket_count
                 )
                 assert len(server.seen) == 1
 
@@ -339,7 +341,7 @@
                 assert status(await client.exchange(request("order"))) == 503
                 (outcome,) = rig.spy.outcomes()
                 assert outcome.result is AttemptResult.CONNECT_FAILED
-                await until(lambda: rig.node._pools.sockets == 0)
+                await until(lambda: rig.node._pools.socket_count == 0)
 
     run(test())
 
@@ -378,7 +380,7 @@
                     response = await client.read()
                     assert (status(response), response.headers["retry-after"]) == (503, "1.500")
                 await until(lambda: not rig.listener.table.connections and not rig.node.requests.active)
-                await until(lambda: rig.node._pools.sockets == 0)
+                await until(lambda: rig.node._pools.socket_count == 0)
                 assert [one.result for one in rig.spy.outcomes()] in (
                     [AttemptResult.NOT_SENT],
                     [AttemptResult.CANCELLED],
@@ -682,7 +684,7 @@
                 assert status(await client.exchange(request("order", X_Deadline="300m"))) == 504
             results = [outcome.result for outcome in rig.spy.outcomes()]
             assert results in lag.results_of_an_expired_attempt()
-            await until(lambda: not server.open and not rig.node._pools.sockets)
+            await until(lambda: not server.open and not rig.node._pools.socket_count)
 
     run(test())
 
@@ -759,7 +761,7 @@
                     update = {"version": 8, "full": False, "servers": [second_server.entry()]}
                     rig.node.endpoint_list.on_update(parse_update(update))
                     is_listed.set()
-                    await until(lambda: rig.spy.outcomes() and rig.node._pools.sockets)
+                    await until(lambda: rig.spy.outcomes() and rig.node._pools.socket_count)
                     await asyncio.sleep(window_s)
                     # Connecting succeeds from here on: the kernel retries it after a second.
                     accepting_server = await asyncio.start_server(
@@ -768,7 +770,7 @@
                     assert status(await client.read()) == expected_status
                     results = [one.result for one in rig.spy.outcomes()]
                     assert results == [AttemptResult.RESET, AttemptResult.NOT_SENT]
-                    await until(lambda: not rig.node._pools.sockets)
+                    await until(lambda: not rig.node._pools.socket_count)
                     accepting_server.close()
                     assert not received_requests
 
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -38,7 +38,7 @@
 )
 
 from moleport.config.node_config import load
-from moleport.node.graceful_shutdown import MIN_SERVE_ON_SECONDS, plan_shutdown
+from moleport.node.graceful_shutdown import MIN_LAME_DUCK_SECONDS, plan_shutdown
 from moleport.node.node_factory import max_client_connections
 
 ROOT = Path(__file__).parents[2]
@@ -48,7 +48,7 @@
 # Runs the node with a longer time of normal service after SIGTERM, so that a slow machine passes as well.
 SLOW_SHUTDOWN_CODE = (
     "import sys, moleport.__main__ as program, moleport.node.graceful_shutdown as graceful_shutdown;"
-    "graceful_shutdown.MIN_SERVE_ON_SECONDS = 2.0; sys.exit(program.main())"
+    "graceful_shutdown.MIN_LAME_DUCK_SECONDS = 2.0; sys.exit(program.main())"
 )
 # Runs the node with longer timeouts for the agent.
 PATIENT_DISCOVERY_CODE = (
@@ -232,19 +232,19 @@
 
 
 @pytest.mark.parametrize(
-    ("latency_objective_ms", "deadline_ms", "late_weight_ratio", "serve_on_s"),
+    ("latency_objective_ms", "deadline_ms", "late_weight_ratio", "lame_duck_s"),
     [
         (1000, 5000, 0.0, 2.4),
-        (1000, 5000, 0.5, MIN_SERVE_ON_SECONDS),
-        (9000, 9000, 0.0, MIN_SERVE_ON_SECONDS),
+        (1000, 5000, 0.5, MIN_LAME_DUCK_SECONDS),
+        (9000, 9000, 0.0, MIN_LAME_DUCK_SECONDS),
         (400, 1000, 0.0, 1.0),
     ],
 )
 def test_the_shutdown_plan_leaves_time_for_the_longest_useful_request(
-    latency_objective_ms: int, deadline_ms: int, late_weight_ratio: float, serve_on_s: float, tmp_path: Path
+    latency_objective_ms: int, deadline_ms: int, late_weight_ratio: float, lame_duck_s: float, tmp_path: Path
 ) -> None:
     """A node serves as before for as long as it can still answer a new request in time."""
-    assert MIN_SERVE_ON_SECONDS > 0.4  # new connections arrive for up to 0.4 s after SIGTERM
+    assert MIN_LAME_DUCK_SECONDS > 0.4  # new connections arrive for up to 0.4 s after SIGTERM
     document = configuration()
     document["settings"]["Grades"] = [
         request_class("page", "once", deadline_ms, latency_objective_ms) | {"LateShare": late_weight_ratio}
@@ -252,7 +252,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document))
     plan = plan_shutdown(load({"BALANCER_CONFIG": str(path)}))
-    assert plan.serve_on_s == pytest.approx(serve_on_s)
+    assert plan.lame_duck_s == pytest.approx(lame_duck_s)
     # SIGKILL follows at least 0.3 s after this time.
     assert plan.finish_within_s == pytest.approx(min(3.0, deadline_ms / 1000) + 0.4)
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -366,7 +366,7 @@
 
         `within` is the time in seconds for open requests.
         """
-        await shut_down(self.listener, self.node, ShutdownPlan(serve_on_s=0.0, finish_within_s=within))
+        await shut_down(self.listener, self.node, ShutdownPlan(lame_duck_s=0.0, finish_within_s=within))
 
     async def client(self) -> Client:
         """Connect a client to the node."""
