--- a/moleport/policy/actions.py
+++ b/moleport/policy/actions.py
@@ -26,7 +26,8 @@
     """A queue of tasks, ordered by due time and, for equal times, by the order of deferral."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[int, int, Task]] = []  # due time in ns, sequence number, task
+        # heap of (due time in ns, sequence number, task)
+        self._heap: list[tuple[int, int, Task]] = []
         self._sequence_number = 0
 
     def defer(self, due_ns: int, task: Task) -> None:
@@ -38,7 +39,7 @@
         heappush(self._heap, (due_ns, self._sequence_number, task))
 
     def run_due(self, now_ns: int) -> None:
-        """Run all tasks that are due, in order."""
+        """Run all deferred tasks that are due, in the order of their due times."""
         while self._heap and self._heap[0][0] <= now_ns:
             _, _, task = heappop(self._heap)
             task(now_ns)
--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -39,17 +39,24 @@
 from moleport.policy.slow_start import SlowStart
 from moleport.policy.state import ActiveRequest, AttemptRecord, EndpointStatus
 
-INITIAL_IN_FLIGHT_REQUESTS = 10.0  # per endpoint: the threshold of a class without samples
-MIN_IN_FLIGHT_REQUESTS = 0.3  # per endpoint, of one class
+# threshold of a request class without samples, in attempts in flight per endpoint
+INITIAL_IN_FLIGHT_REQUESTS = 10.0
+# attempts in flight of one request class, per endpoint, that are admitted regardless of the cap of the class
+MIN_IN_FLIGHT_REQUESTS = 0.3
 HIGHER_PRIORITY_MULTIPLE = 1.2
 MUCH_HIGHER_PRIORITY_MULTIPLE = 2.0
 RESERVED_RATIO = 0.8
-CLIENT_RETRY_RATIO = 0.5  # of the cap: a part of the latency objective has passed before a client's retry
-OVER_QUOTA_RATIO = 0.5  # of the cap
+# fraction of the cap that applies to a client's retry, which comes after a part of the latency objective
+CLIENT_RETRY_RATIO = 0.5
+# fraction of the cap that applies to a request over the quota of its tenant
+OVER_QUOTA_RATIO = 0.5
 LOSS_FACTOR_MULTIPLE = 2.0
-FAILED_SAMPLE_FACTOR = 2.0  # times the elapsed time for a time-out, times the objective for a rejection
+# multiple of the elapsed time that is sampled for a time-out, or of the latency objective for a rejection
+FAILED_SAMPLE_FACTOR = 2.0
 RESPONSE_TIME_EWMA_WEIGHT = 0.05
-MAX_SAMPLED_WAITING_RATIO = 2.0  # a slower endpoint is no evidence of the load of the fleet
+# Endpoints with response times from this multiple of the typical ones on are not sampled.
+# Such a slow endpoint is no evidence of the load of the fleet.
+MAX_SAMPLED_WAITING_RATIO = 2.0
 
 
 class AdmissionControl:
@@ -79,7 +86,7 @@
         ]
         """Circuit breakers by class index."""
         self.caps = [0.0] * len(settings.classes)
-        """By class index, the number of attempts in flight (all classes) at which requests are rejected."""
+        """Cap of each class, by class index, in attempts of all classes in flight."""
 
     def admits(self, now_ns: int, request: api.Request) -> bool:
         """Return whether a request that has just arrived is admitted."""
@@ -96,7 +103,7 @@
         return self.breakers[class_index].in_flight.update_and_check(now_ns, min_in_flight)
 
     def on_attempt_sent(self, now_ns: int, class_index: int, status: EndpointStatus) -> None:
-        """Count an attempt as in flight."""
+        """Count an attempt that was sent as in flight, for its endpoint, its class and this node."""
         status.in_flight += 1
         self.in_flight.add(now_ns, 1)
         self.breakers[class_index].in_flight.add(now_ns, 1)
@@ -107,7 +114,7 @@
         """Count an attempt as no longer in flight; after a time-out, with a delay of the attempt's duration.
 
         The delay is at most the latency objective. An endpoint may continue to work on a request after the
-        time-out, and sending it the next request at once would overload it.
+        time-out, and the next request would overload the endpoint if it were sent at once.
         """
         if attempt.result is not AttemptResult.TIMEOUT or attempt.status.ejected_until_ns:
             self._release(class_index, attempt.status, now_ns)
@@ -127,7 +134,7 @@
     def is_early_timeout(self, active: ActiveRequest, result: AttemptResult, elapsed_ns: int) -> bool:
         """Return whether an attempt timed out before an answer could be expected.
 
-        A retry may have little time left; its time-out is then no evidence about the endpoint.
+        A time-out of a retry that had little time left is no evidence about the endpoint.
         """
         if result is not AttemptResult.TIMEOUT:
             return False
@@ -173,12 +180,13 @@
         return INITIAL_IN_FLIGHT_REQUESTS * len(self._endpoints.ready) / self._settings.node_count
 
     def update_caps(self) -> None:
-        """Update the caps from the thresholds, after each window and each change of the endpoints."""
+        """Update all caps from the thresholds, after each window and each change of the endpoints."""
         loss_factor = min(1.0, LOSS_FACTOR_MULTIPLE * (1.0 - self._connections.loss_rate))
         initial_threshold = self.initial_threshold()
         thresholds = [breaker.threshold(initial_threshold) for breaker in self.breakers]
         priorities = [self.priority(index) for index in range(len(thresholds))]
-        # Classes by descending priority, with running minima of thresholds: comparing all pairs is too slow.
+        # Request classes are sorted by descending priority, for running minima of their thresholds.
+        # Comparing all pairs of request classes would be too slow.
         by_priority = sorted(range(len(priorities)), key=priorities.__getitem__, reverse=True)
         lowest_thresholds = list(accumulate((thresholds[index] for index in by_priority), min))
         negated_priorities = [-priorities[index] for index in by_priority]
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -43,7 +43,8 @@
 from moleport.policy.state import ActiveRequest, AttemptRecord, EndpointStatus
 from moleport.policy.timing import WINDOW_NS, jittered_ns
 
-MIN_TIMEOUT_NS = 1  # `Forward` reads 0 as no time limit
+# shortest time limit of an attempt in ns, as 0 in `Forward` means no time limit
+MIN_TIMEOUT_NS = 1
 
 
 class Balancer:
@@ -102,7 +103,9 @@
         """Return the actions for an event; `now_ns` must not decrease from one event to the next."""
         self._actions.pending = []
         if isinstance(event, api.ClientDisconnected):
-            self._mark_closed(event)  # before deferred tasks, which send final answers to open requests
+            # The request of a client that has disconnected is closed before deferred tasks run.
+            # Deferred tasks send final answers to open requests.
+            self._mark_closed(event)
         self._deferred.run_due(now_ns)
         if isinstance(event, api.Request):
             self._on_request(now_ns, event)
@@ -147,7 +150,7 @@
         self._key_ordering.cool_down(now_ns, active, outcome.result)
         is_conclusive = self._record_evidence(now_ns, active, attempt, outcome)
         class_index = active.request.class_index
-        # The order matters: admission reads ejected_until_ns before outlier detection changes it.
+        # Admission reads ejected_until_ns, and so runs before outlier detection, which changes that time.
         self._admission.on_attempt_ended(now_ns, class_index, attempt, outcome.elapsed_ns)
         recorded_result = outcome.result if is_conclusive else AttemptResult.CANCELLED
         self._record_result(now_ns, attempt.status, recorded_result, class_index)
--- a/moleport/policy/candidate_index.py
+++ b/moleport/policy/candidate_index.py
@@ -1,4 +1,4 @@
-"""Zone-aware lookup of candidates: a key maps to an endpoint of the own zone, as its capacity allows."""
+"""Zone-aware lookup of candidates: keys map to endpoints of the own zone, up to its share of capacity."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 class CandidateIndex(Generic[T]):
     """Maps keys to endpoints, among all endpoints or among those of the node's own zone.
 
-    The fraction of the keys that is assigned to the own zone is W * Z / T, at most 1, where W is its weight,
-    T the weight of all zones and Z the number of zones. This assumes that each zone has an equal part of the
-    traffic, and keeps a zone that lost endpoints from being overloaded by its own nodes.
+    The fraction of the keys that is assigned to the own zone is W * Z / T, at most 1, where W is the weight
+    of the own zone, T the weight of all zones and Z the number of zones. This assumes that each zone has an
+    equal part of the traffic, and keeps a zone that lost endpoints from being overloaded by its own nodes.
     """
 
     def __init__(self, zone: int | None) -> None:
@@ -29,9 +29,12 @@
         self._own_zone = zone
         self._all_zones_grid: SlotGrid[T] = SlotGrid()
         self._own_zone_grid: SlotGrid[T] = SlotGrid()
-        self._zones: dict[bytes, int] = {}  # by endpoint id
-        self._endpoint_counts: dict[int, int] = {}  # by zone
-        self._own_zone_ratio = 0  # fraction of the keys for the own zone, times HASH_RATIO_SCALE
+        # zone of each endpoint, by endpoint id
+        self._zones: dict[bytes, int] = {}
+        # number of endpoints in each zone
+        self._endpoint_counts: dict[int, int] = {}
+        # fraction of the keys that is assigned to the node's own zone, times HASH_RATIO_SCALE
+        self._own_zone_ratio = 0
 
     def __len__(self) -> int:
         """Return the number of endpoints."""
@@ -73,9 +76,9 @@
         self._update_own_zone_ratio()
 
     def find(self, key_hash: int, prefer_own_zone: bool) -> T | None:
-        """Return the endpoint that a 64-bit hash of a key maps to; None if there is none.
+        """Return the endpoint that a 64-bit hash of a key maps to; None if no endpoint accepts the key.
 
-        With `prefer_own_zone` it is an endpoint of the own zone, if the key is assigned to that zone.
+        With `prefer_own_zone`, a key that is assigned to the own zone maps to an endpoint of the own zone.
         """
         if prefer_own_zone and (
             self._own_zone_ratio == HASH_RATIO_SCALE
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -30,15 +30,26 @@
 
 from moleport.policy.timing import WINDOW_NS
 
-SMOOTHING_FACTOR = 0.5  # weight of the previous mean
-TAIL_QUANTILE = 0.85  # the longest response times are due to the requests themselves, not to load
-TARGET_RATIO = 0.7  # of the latency objective
-HEADROOM_FACTOR = 1.5  # a target below the unloaded tail would be missed at any threshold
-UNLOADED_FALL_RATIO = 0.2  # weight of a tail below the unloaded tail
-UNLOADED_RISE_RATIO = 0.01  # weight of a tail above the unloaded tail
-PROVEN_RATIO = 0.5  # of proven_in_flight
-PROVEN_DECAY_FACTOR = 0.99  # per window
-BURST_MULTIPLE = 2.0  # standard deviations of a Poisson distribution
+# weight of the previous value in exponentially weighted means of response times
+SMOOTHING_FACTOR = 0.5
+# This quantile of the response times is compared with the target.
+# The longest response times are due to the requests themselves, not to load.
+TAIL_QUANTILE = 0.85
+# lowest target for the response times, as a fraction of the latency objective
+TARGET_RATIO = 0.7
+# lowest target for the response times, as a multiple of the tail of the response times without load
+# A target below the response times without load would be missed at any threshold.
+HEADROOM_FACTOR = 1.5
+# weight of the newest tail of the response times in the tail without load, if the newest one is lower
+UNLOADED_FALL_RATIO = 0.2
+# weight of the newest tail of the response times in the tail without load, if the newest one is higher
+UNLOADED_RISE_RATIO = 0.01
+# lowest threshold, as a fraction of the highest number of attempts in flight that recently met the target
+PROVEN_RATIO = 0.5
+# factor per window by which the highest number of attempts in flight that met the target decays
+PROVEN_DECAY_FACTOR = 0.99
+# excess of attempts in flight over the cap in a burst, in standard deviations of a Poisson distribution
+BURST_MULTIPLE = 2.0
 MIN_TAIL_NS = 1.0
 
 
@@ -51,7 +62,7 @@
     changed_at_ns: int = 0
 
     def add(self, now_ns: int, change: int) -> None:
-        """Update the mean up to now, then change the count."""
+        """Update the mean number of attempts in flight up to now, then change the number."""
         previous_weight = exp((self.changed_at_ns - now_ns) / WINDOW_NS)
         self.mean = previous_weight * self.mean + (1.0 - previous_weight) * self.count
         self.count += change
@@ -71,7 +82,7 @@
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """The threshold of one class, in attempts in flight at this node, of all classes."""
+    """Circuit breaker of one class; its threshold is a number of attempts of all classes in flight."""
 
     latency_objective_ns: int
     target_ns: float = 0.0
@@ -82,18 +93,18 @@
     proven_in_flight: float = 0.0
     """Highest number of attempts of all classes in flight that recently met the target."""
     typical_response_ns: float = 0.0
-    """Smoothed median of the response times."""
+    """Smoothed median of the response times of the class."""
     in_flight: InFlight = field(default_factory=InFlight)
-    """Attempts of this class in flight."""
+    """Number of attempts of this class in flight, and its mean."""
     samples_ns: list[float] = field(default_factory=list)
-    """Response times in the current window."""
+    """Response times of the class in the current window."""
 
     def __post_init__(self) -> None:
         self.target_ns = TARGET_RATIO * self.latency_objective_ns
         self.typical_response_ns = float(self.latency_objective_ns)
 
     def threshold(self, initial_threshold: float) -> float:
-        """Return how many attempts in flight meet the target; `initial_threshold` before a first sample."""
+        """Return how many attempts in flight meet the target; without samples, `initial_threshold`."""
         if not self.ns_per_request:
             return initial_threshold
         return max(self.target_ns / self.ns_per_request, PROVEN_RATIO * self.proven_in_flight)
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -27,10 +27,14 @@
 from moleport.policy.interface import AttemptResult
 from moleport.policy.state import AttemptRecord, EndpointStatus
 
-MAX_FRESH_IDLE_NS = 250_000_000  # up to this idle time, a connection counts like a new one
+# idle time up to which a connection counts as fresh, like a new one
+MAX_FRESH_IDLE_NS = 250_000_000
 LOSS_EWMA_WEIGHT = 0.2
-IDLE_TIMEOUT_EWMA_WEIGHT = 0.05  # a time-out is weaker evidence of a dropped connection than a reset
-MIN_IDLE_LOSS_RATE = 0.3  # two resets in a row, or seven time-outs
+# weight of a time-out in the idle loss rate
+# A time-out is weaker evidence of a dropped connection than a reset.
+IDLE_TIMEOUT_EWMA_WEIGHT = 0.05
+# lowest idle loss rate at which idle connections count as dropped: two resets in a row, or seven time-outs
+MIN_IDLE_LOSS_RATE = 0.3
 IDLE_LOSS_MULTIPLE = 2.0
 IDLE_BOUND_DOUBLING_NS = 10_000_000_000
 MAX_IDLE_BOUND_DOUBLINGS = 32.0
@@ -50,14 +54,16 @@
         self.connect_failure_rate = 0.0
         """Fraction of new connections that failed, 0 to 1."""
         self._idle_loss_rate = 0.0
-        self._idle_bound_ns = 0  # idle time up to which connections are reused, before doublings
-        self._idle_bound_set_at_ns = 0  # when the bound was last set; 0: never
+        # longest idle time of connections that are reused, in ns, before this bound doubles over time
+        self._idle_bound_ns = 0
+        # time at which the bound on the idle time of connections was last set; 0: never
+        self._idle_bound_set_at_ns = 0
 
     def usable_idle_ns(self, now_ns: int, status: EndpointStatus) -> int:
         """Return the idle time of the connection that an attempt would use, in ns; 0: a new connection."""
         if not status.idle_since_ns:
             return 0
-        # At least 1, also for a connection that became idle just now: 0 stands for a new connection.
+        # The idle time is at least 1, even if the connection became idle just now: 0 means a new connection.
         idle_ns = now_ns - status.idle_since_ns[-1] + 1
         max_idle_ns = self._max_idle_ns(now_ns) if self._idle_bound_set_at_ns else self._idle_timeout_ns
         return idle_ns if idle_ns <= max_idle_ns else 0
@@ -76,10 +82,10 @@
         return idle_ns
 
     def on_attempt_ended(self, now_ns: int, attempt: AttemptRecord) -> bool:
-        """Update the rates; return whether the attempt was lost because its idle connection was dropped."""
+        """Update the loss rates; return whether an attempt was lost as its idle connection was dropped."""
         result = attempt.result
         if result is AttemptResult.NOT_SENT:
-            return False  # no connection was used
+            return False  # an attempt that was not sent used no connection
         if result in ANSWERED:
             attempt.status.idle_since_ns.append(now_ns)
         if not attempt.idle_ns:
@@ -103,7 +109,7 @@
         return True
 
     def _max_idle_ns(self, now_ns: int) -> int:
-        # If new connections fail more often than idle ones, closing the idle ones would gain nothing.
+        # If new connections fail more often than idle connections, closing the idle ones would gain nothing.
         if self.connect_failure_rate > self._idle_loss_rate:
             return self._idle_timeout_ns
         doublings = min(
--- a/moleport/policy/discovery_polling.py
+++ b/moleport/policy/discovery_polling.py
@@ -27,14 +27,18 @@
 MIN_BACKOFF_NS = 250_000_000
 MAX_BACKOFF_DOUBLINGS = 4
 MIN_JITTER_RATIO = 0.5
-FIRST_POLL_RATIO = 0.5  # of the poll interval: the longest wait before the first poll
-NOTIFICATION_LIMIT_NS = 5_750_000_000  # nodes have to be notified of a change within 6 s
-POLL_TIMEOUT_NS = 2_500_000_000  # within this time a poll delivers a list or fails
-WATCH_SILENCE_NS = 3_000_000_000  # a watch that is silent for this time counts as failed
+# longest wait before the first poll of discovery, as a fraction of the poll interval
+FIRST_POLL_RATIO = 0.5
+# time within which polling notifies a node of a change of the endpoint list; the requirement is 6 s
+NOTIFICATION_LIMIT_NS = 5_750_000_000
+# time within which a poll of discovery delivers a list or fails
+POLL_TIMEOUT_NS = 2_500_000_000
+# time without a message after which a watch of the endpoint list counts as failed
+WATCH_SILENCE_NS = 3_000_000_000
 
 
 class DiscoveryPoller:
-    """Opens a watch of the endpoint list, and opens it again after a failure."""
+    """Opens a watch of the endpoint list, and a new watch after each failure."""
 
     def __init__(self, settings: api.Settings, random: Random, actions: ActionBuffer) -> None:
         self._is_polling = settings.discovery_mode is api.DiscoveryMode.POLL
@@ -42,8 +46,10 @@
         self._random = random
         self._actions = actions
         self._is_watching = False
-        self._polled_at_ns: int | None = None  # start of the poll in progress; None: no poll in progress
-        self._failure_count = 0  # consecutive failures of polls and watches
+        # start time of the poll of discovery in progress; None: no poll is in progress
+        self._polled_at_ns: int | None = None
+        # number of consecutive failures of polls and watches of discovery
+        self._failure_count = 0
 
     def start(self, now_ns: int) -> None:
         """Set the timer of the first poll."""
@@ -54,7 +60,7 @@
         self._set_timer(now_ns, max_wait_ns, min_ratio=0.0)
 
     def on_timer(self, now_ns: int) -> None:
-        """Open a watch unless one is open."""
+        """Open a watch of the endpoint list unless a watch is open already."""
         if self._is_watching:
             return
         self._is_watching = True
@@ -62,7 +68,7 @@
         self._actions.emit(api.WatchEndpoints())
 
     def on_list(self) -> None:
-        """Record that discovery has sent the list or a change of it."""
+        """Record that discovery has sent the endpoint list or a change of the list."""
         self._is_watching = True
         self._failure_count = 0
         self._polled_at_ns = None
--- a/moleport/policy/endpoint_registry.py
+++ b/moleport/policy/endpoint_registry.py
@@ -23,7 +23,8 @@
 from moleport.policy.state import EndpointStatus
 
 DEFAULT_WEIGHT = 1.0
-BULK_MULTIPLE = 50  # the list is sorted if more than 1 / 50 is new, else new endpoints are inserted singly
+# The list of ready endpoints is sorted if more than 1 / 50 is new; otherwise new ones are inserted singly.
+BULK_MULTIPLE = 50
 
 
 class EndpointRegistry:
@@ -40,7 +41,8 @@
         self._outliers = outliers
         self._slow_start = slow_start
         self._load_reports = load_reports
-        self._changed: dict[api.EndpointId, None] = {}  # endpoints changed by the current update
+        # ids of the endpoints that the current update of the endpoint list has changed
+        self._changed: dict[api.EndpointId, None] = {}
 
     def apply_update(self, now_ns: int, update: api.EndpointUpdate) -> None:
         """Apply an update that contains entries; its kind must not be `FAILED`."""
--- a/moleport/policy/hardware_types.py
+++ b/moleport/policy/hardware_types.py
@@ -17,11 +17,14 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-MIN_REPORT_EWMA_WEIGHT = 0.1  # the first reports of a type have a higher weight
-MIN_REPORT_COUNT = 3  # per type
+# lowest weight of a load report in the mean utilization of a hardware type; the first reports weigh more
+MIN_REPORT_EWMA_WEIGHT = 0.1
+# number of load reports that each hardware type needs before hash ratios change
+MIN_REPORT_COUNT = 3
 GAIN_EXPONENT = 0.3
 MIN_HASH_RATIO = 0.1
-MIN_UTILIZATION_RATIO = 0.1  # a lower utilization counts as this
+# lowest utilization that a hardware type counts with; a lower utilization counts as this value
+MIN_UTILIZATION_RATIO = 0.1
 
 
 @dataclass(slots=True)
@@ -29,11 +32,11 @@
     """What this node knows about the endpoints of one hardware type."""
 
     hash_ratio: float = 1.0
-    """Fraction of the keys which hash to these endpoints that they get, 0 to 1."""
+    """Fraction of the keys hashing to an endpoint of this type that do not skip the endpoint, 0 to 1."""
     utilization: float = 0.0
-    """Mean fraction of their cores in use, 0 to 1."""
+    """Mean fraction of the cores in use on endpoints of this type, 0 to 1."""
     report_count: int = 0
-    """Number of load reports so far."""
+    """Number of load reports from endpoints of this type so far."""
 
 
 class HardwareTypes:
@@ -45,7 +48,7 @@
     def record_utilization(self, hardware_type: int, utilization: float, is_reported: bool) -> None:
         """Add an endpoint's utilization to the mean of its type.
 
-        If endpoints report no utilization, it is an assumed one, which does not count as a report.
+        If endpoints report no utilization, an assumed utilization is added, which does not count as a report.
         """
         status = self.by_type[hardware_type]
         status.report_count += is_reported
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -32,18 +32,24 @@
 """Least number of slots per claim; with fewer slots, more claims collide and a change moves more keys."""
 MIN_SLOT_COUNT = 4096
 GROWTH_FACTOR = 32
-"""Resizing the grid moves most keys, so it grows seldom: above 256 claims, then above 8,192."""
+"""Factor by which the number of slots grows.
+
+Resizing the grid moves most keys, so the grid grows seldom: above 256 claims, then above 8,192.
+"""
 
 WINDOW_SLOT_COUNT = 256
 """Number of slots that a key probes at once."""
 STRIDE_SHIFT_BITS = 20
 STRIDE_LIMIT_SLOTS = 1024
-"""Bound on the distance between the slots of a window, which is an odd number below it."""
+"""Bound on the distance between the slots of a window; the distance is an odd number below this bound."""
 MAX_WINDOW_COUNT = 64
-"""Most windows that a key probes; equal weights need one or two, very different ones four on average."""
+"""Largest number of windows that a key probes.
+
+With equal weights a key needs one or two windows, with very different weights four on average.
+"""
 
 MIN_WEIGHT, MAX_WEIGHT = 2.0**-40, 2.0**40
-"""Range of weights; a weight outside of it is clamped."""
+"""Lowest and highest weight of an endpoint; a weight outside this range is clamped."""
 WEIGHT_UNITS = 1 << 40
 """Units per weight of 1.0. Weights are integers, so that their sum is the same in any order."""
 
@@ -80,8 +86,9 @@
         else:
             digest = blake2b(name, digest_size=RANK_BYTES)
         self.rank = int.from_bytes(digest.digest(), "little")
-        self.probe = 0  # index of its slot in the probe sequence
-        # Fraction of the keys which probe its slot that it gets, times HASH_RATIO_SCALE.
+        # index of the slot that the claim occupies, in the probe sequence of the claim
+        self.probe = 0
+        # fraction of the keys probing the slot of the claim that map to the claim, times HASH_RATIO_SCALE
         self.key_ratio = HASH_RATIO_SCALE
         self.value = value
 
@@ -102,17 +109,21 @@
 
     def __init__(self) -> None:
         """Create a grid without members."""
-        self._mask = MIN_SLOT_COUNT - 1  # the number of slots is a power of two
+        # number of slots less 1; the number of slots is a power of two
+        self._mask = MIN_SLOT_COUNT - 1
         self._slots: dict[int, Claim[T]] = {}
-        # A byte of 1 per occupied slot, repeated beyond the last slot so that no window wraps around.
-        # Empty until the grid is built.
+        # one byte per slot of the grid, 1 for an occupied slot; empty until the grid is built
+        # The bytes are repeated beyond the last slot, so that no window of slots wraps around.
         self._occupied = bytearray()
-        self._displaced: dict[int, list[Claim[T]]] = {}  # by slot: claims that were displaced to a later slot
+        # claims that were displaced from a slot to a later one of their probe sequences, by slot
+        self._displaced: dict[int, list[Claim[T]]] = {}
         self._claims: dict[bytes, list[Claim[T]]] = {}
-        self._members: dict[bytes, tuple[int, T]] = {}  # by name: weight in units, value
-        self._slot_units = WEIGHT_UNITS  # weight of one slot, in units
+        # weight in units and value of each member of the grid, by name
+        self._members: dict[bytes, tuple[int, T]] = {}
+        self._slot_units = WEIGHT_UNITS  # weight that one slot of the grid stands for, in units
         self._claim_count = 0
-        self._weight_counts: dict[int, int] = {}  # by weight in units: number of members
+        # number of members of each weight, by weight in units
+        self._weight_counts: dict[int, int] = {}
         self.total_units = 0
 
     def __len__(self) -> int:
@@ -225,7 +236,8 @@
         for name in names:
             units, value = self._members.get(name, (0, None))
             if units == self._slot_units and value is not None and name not in self._claims:
-                self._claims[name] = [Claim(name, 0, value)]  # fast path for the most common case
+                # fast path for the most common case, a new member with the weight of one slot
+                self._claims[name] = [Claim(name, 0, value)]
             else:
                 self._adjust_claims(name)
         size = self._target_slot_count()
@@ -262,9 +274,9 @@
             claim.probe += 1
 
     def _release(self, claim: Claim[T]) -> None:
-        """Free the slot of a claim; move the claim of lowest rank displaced from it there, and repeat."""
+        """Free the slot of a claim: the displaced claim of lowest rank moves there and frees its own slot."""
         if not self._occupied:
-            return  # the grid is about to be rebuilt
+            return  # while the grid is being rebuilt, a claim has no slot to free
         mask = self._mask
         freed = claim.slot(claim.probe, mask)
         self._remove_displacements(claim, 0)
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -18,7 +18,7 @@
 MIN_REMEMBERED_REQUESTS = 0.5
 """A key is removed when its decayed count falls below this number."""
 MAX_SCALE_FACTOR = 1e100
-"""The scale is reset above this factor, which is far below the largest float."""
+"""The scale of the request counts is reset above this factor, which is far below the largest float."""
 
 
 class HotKeyTracker:
@@ -30,12 +30,18 @@
 
     def __init__(self) -> None:
         """Create a tracker without any requests."""
-        self.fan_out: dict[int, int] = {}  # by hot key: number of start positions, its endpoints less one
-        self._counts: dict[int, float] = {}  # by key; multiplied by the scale, like all counts below
-        self._scale = 1.0  # weight of a new request
+        # number of start positions of each hot key, by key; a hot key may use one endpoint more than this
+        self.fan_out: dict[int, int] = {}
+        # decayed request count of each key, multiplied by the scale
+        self._counts: dict[int, float] = {}
+        # weight of a new request in the request counts of keys
+        self._scale = 1.0
+        # sum of the request counts of all keys, multiplied by the scale
         self._total = 0.0
-        self._count_heap: list[tuple[float, int]] = []  # each key once, with its present or an earlier count
-        self._repeated_keys: dict[int, None] = {}  # keys with a repeated request since the last update
+        # heap of (request count times the scale, key), with each key once; a count may be an earlier one
+        self._count_heap: list[tuple[float, int]] = []
+        # keys with a repeated request since the last update of the hot keys
+        self._repeated_keys: dict[int, None] = {}
 
     def record(self, key: int) -> None:
         """Count a request with this key."""
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -17,11 +17,11 @@
     """Whether a request of a class may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    """It may be executed any number of times."""
+    """The request may be executed any number of times."""
     IDEMPOTENCY_KEY = "idempotency_key"
     """For a limited time, the endpoints of the deduplication scope drop repeats with the same key."""
     NOT_IDEMPOTENT = "not_idempotent"
-    """It must not be executed more than once."""
+    """The request must not be executed more than once."""
 
 
 class DeduplicationScope(Enum):
@@ -36,22 +36,22 @@
     """How the endpoint list reaches a node."""
 
     PUSH = "push"
-    """The node itself keeps a watch of the list open."""
+    """The node itself keeps a watch of the endpoint list open."""
     POLL = "poll"
-    """The module decides when to poll for the list, and emits `WatchEndpoints`."""
+    """The decision module decides when to poll for the endpoint list, and emits `WatchEndpoints`."""
 
 
 class EndpointUpdateKind(Enum):
     """What an update of the endpoint list contains."""
 
     CACHED = "cached"
-    """The complete list that the node stored before a restart; it may be stale."""
+    """The complete endpoint list that the node stored before a restart; the stored list may be stale."""
     SNAPSHOT = "snapshot"
-    """The complete list; endpoints that are not in it are removed."""
+    """The complete endpoint list; endpoints that are not listed are removed."""
     DELTA = "delta"
-    """Only the entries that have changed."""
+    """Only the entries of the endpoint list that have changed."""
     FAILED = "failed"
-    """No entries, as a poll or a watch has failed."""
+    """No entries of the endpoint list, as a poll or a watch has failed."""
 
 
 class EndpointState(Enum):
@@ -70,7 +70,7 @@
     ERROR = "error"
     """The endpoint answered with an error, or with an answer that could not be parsed."""
     REJECTED = "rejected"
-    """The endpoint rejected the request without executing it, as it is overloaded or draining."""
+    """An overloaded or draining endpoint rejected the request without executing the request."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     """The connection was not established, or broke before the last byte of the request was written."""
@@ -97,7 +97,7 @@
 
 
 class TimerId(IntEnum):
-    """The timers that the module sets; the simulator's wire protocol uses these numbers."""
+    """The timers that the decision module sets; the simulator's wire protocol uses these numbers."""
 
     WINDOW_END = 1
     """A measurement window ends."""
@@ -124,11 +124,11 @@
     priority_weight: float
     """Value of an answer in time, relative to the other classes."""
     late_weight_ratio: float
-    """Fraction of the weight that an answer after the objective still has, 0 to 1."""
+    """Fraction of the priority weight that an answer after the latency objective still has, 0 to 1."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0
-    """With idempotency keys, the time for which repeats are recognised."""
+    """Time for which endpoints recognise a repeated idempotency key."""
     ordered_by_key: bool = False
     """Requests with the same key run one at a time, in the order in which this node accepted them."""
 
@@ -160,7 +160,7 @@
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
     node_count: int
-    """Number of nodes that share the endpoints."""
+    """Number of nodes that share the endpoints of the fleet."""
     discovery_mode: DiscoveryMode
     poll_interval_ns: int
     """In discovery mode `poll`, the longest wait between polls while no watch is open."""
@@ -181,7 +181,7 @@
     idle_timeout_ns: int = 0
     """Idle time after which endpoints close a connection; 0: connections are not reused."""
     key_cooldown_ns: int = 0
-    """For ordered keys, the pause after an attempt that may still be running."""
+    """Pause before the next request with an ordered key, after an attempt that may still be running."""
     zone: int | None = None
     """Zone of this node; None: not known."""
     node_index: int | None = None
@@ -222,7 +222,7 @@
     weight: float
     """Capacity relative to the other endpoints."""
     started_at_ns: int
-    """Time of its last start; 0: so long ago that it is warm."""
+    """Time of the last start of the endpoint; 0: the endpoint started so long ago that it is warm."""
     hardware_type: int = 0
     """Endpoints of the same type run on machines of the same kind."""
 
@@ -254,25 +254,25 @@
 
     request_id: int
     is_answered: bool
-    """Whether the client has its final answer."""
+    """Whether the client has the final answer to its request."""
     result: AttemptResult
     elapsed_ns: int
     endpoint_id: EndpointId
     attempt_index: int
-    """Index among the attempts of the request, from 0."""
+    """Index of the attempt among the attempts of the request, from 0."""
     load_report: tuple[float, ...]
-    """Values in the order of the setting `load_report_fields`; empty if there was no report."""
+    """Load values in the order of the setting `load_report_fields`; empty if there was no report."""
 
 
 class ClientDisconnected(NamedTuple):
     """Event: the client has disconnected; its request gets no further attempt and no final answer.
 
-    Also sent when the node itself ends the request: at its deadline, at shutdown or after a fault.
+    The event is also sent when the node ends the request: at its deadline, at shutdown or after a fault.
     """
 
     request_id: int
     is_half_closed: bool = False
-    """Whether the client may have closed only its sending side; it then still gets a final answer."""
+    """Whether the client may have closed only its sending side, and then still gets a final answer."""
 
 
 class TimerFired(NamedTuple):
@@ -292,7 +292,7 @@
     timeout_ns: int
     """Time limit of the attempt; 0: only the deadline of the request applies."""
     write_deadline_ns: int = 0
-    """Time by which the last byte has to be written, or else nothing may be; 0: no such bound."""
+    """Time by which the last byte of the request has to be written, or else no byte may be; 0: no bound."""
 
 
 class Reject(NamedTuple):
@@ -300,11 +300,11 @@
 
     request_id: int
     retry_after_ns: int
-    """Time that the client is told to wait before a retry; 0: none is given."""
+    """Time that the client is told to wait before a retry; 0: no time is given."""
 
 
 class Fail(NamedTuple):
-    """Action: send the final answer that the request failed; it may have been executed."""
+    """Action: send the final answer that the request failed; the request may have been executed."""
 
     request_id: int
 
--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -71,7 +71,8 @@
         self._actions = actions
         self._send_first = send_first
         self._finish_unsent = finish_unsent
-        self._queues: dict[int, KeyQueue] = {}  # by key
+        # queue of the requests with each ordered key, by key
+        self._queues: dict[int, KeyQueue] = {}
 
     def enqueue(self, now_ns: int, active: ActiveRequest) -> bool:
         """Send or queue a request; return False if it can't be sent, or not in time."""
@@ -95,7 +96,7 @@
             queue.cooldown_until_ns = now_ns + self._key_cooldown_ns
 
     def on_request_complete(self, now_ns: int, active: ActiveRequest) -> None:
-        """Send the next request with the same key."""
+        """Send the next request with the key of a request that is complete."""
         if active.request.key in self._queues:
             self._send_next(active.request.key, now_ns)
 
--- a/moleport/policy/load_reports.py
+++ b/moleport/policy/load_reports.py
@@ -1,9 +1,10 @@
 """Load reports of endpoints, and the utilization that is assumed without reports.
 
 A load report lists values in the order of the setting `load_report_fields`. Only `utilization` is used, the
-fraction of the endpoint's cores in use, 0 to 1. An attempt that times out sets it to 1, as the most loaded
-endpoints don't answer. If endpoints report no utilization, a successful answer sets it back to 0. If they do,
-only a report changes it, as an answer may be sent without a report.
+fraction of the endpoint's cores in use, 0 to 1. An attempt that times out sets the utilization to 1, as the
+most loaded endpoints don't answer. If endpoints report no utilization, a successful answer sets the value
+back to 0. If endpoints report their utilization, only a report changes the value otherwise, as an answer may
+be sent without a report.
 
 The utilization is used by selection (load score), hardware_types (hash ratios) and admission (headroom).
 """
@@ -15,8 +16,10 @@
 from moleport.policy.state import EndpointStatus
 
 UTILIZATION = "utilization"
-HEADROOM_UTILIZATION_RATIO = 0.6  # the fleet has headroom below this mean of the ready endpoints
-UTILIZATION_UNITS = 1 << 40  # units per utilization of 1.0
+# mean utilization of the ready endpoints below which the fleet has headroom
+HEADROOM_UTILIZATION_RATIO = 0.6
+# number of integer units that stand for a utilization of 1.0
+UTILIZATION_UNITS = 1 << 40
 
 
 class LoadReports:
@@ -26,7 +29,8 @@
         self._fields = settings.load_report_fields
         self._has_utilization = UTILIZATION in settings.load_report_fields
         self._hardware_types = hardware_types
-        self._total_units = 0  # an integer number of units, as sums of integers have no rounding error
+        # sum of the utilization of the ready endpoints, in units: sums of integers have no rounding error
+        self._total_units = 0
 
     def has_headroom(self, ready_count: int) -> bool:
         """Return whether endpoints report their utilization and the mean of the ready ones is low."""
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -49,16 +49,23 @@
 RECENT_SUCCESS_NS = 500_000_000
 MAX_SILENCE_NS = 2_000_000_000
 EJECTION_FAILURE_RATE = 0.5
-OUTLIER_MULTIPLE = 2.5  # failures of the whole fleet are not the fault of one endpoint
+# lowest failure rate for an ejection, as a multiple of the failure rate of the fleet
+# Failures of the whole fleet are not the fault of one endpoint.
+OUTLIER_MULTIPLE = 2.5
 REPLACEMENT_MARGIN_RATE = 0.25
-MAX_EJECTED_RATIO = 1 / 4  # ejecting more endpoints would overload the others
-MAX_UNREACHABLE_RATIO = 3 / 4  # failed connections are not a sign of overload
+# fraction of the ready endpoints that may be ejected; ejecting more endpoints would overload the others
+MAX_EJECTED_RATIO = 1 / 4
+# fraction of the ready endpoints that may be ejected when a failed connection is the cause
+# Failed connections are not a sign of overload.
+MAX_UNREACHABLE_RATIO = 3 / 4
 EJECTION_NS = 2_000_000_000
 MAX_EJECTION_DOUBLINGS = 4
 MAX_SILENCE_EJECTION_NS = 4 * EJECTION_NS
 MIN_JITTER_RATIO = 0.5
-MAX_NOTICE_COUNT = 1024  # the oldest notices are dropped if the caller does not remove them
-MAX_STALE_MULTIPLE = 8  # heap entries per ejected endpoint above which the heap is rebuilt
+# number of ejection notices that are kept; the oldest are dropped if the caller does not remove them
+MAX_NOTICE_COUNT = 1024
+# heap entries per ejected endpoint, plus a constant, above which the heap of failure rates is rebuilt
+MAX_STALE_MULTIPLE = 8
 
 NOT_COUNTED = (
     AttemptResult.CANCELLED,
@@ -80,7 +87,7 @@
         """Ejections and reinstatements that the caller has not removed yet, the oldest first."""
         self.ejected: dict[EndpointStatus, None] = {}
         """The ready endpoints that are ejected; a dict, as the order of a set differs between processes."""
-        # A heap over `ejected`, with entries that are out of date.
+        # heap of (failure rate, id) of the ejected endpoints; some entries are out of date
         self._by_failure_rate: list[tuple[float, api.EndpointId]] = []
 
     def may_try(self, now_ns: int, status: EndpointStatus) -> bool:
@@ -88,7 +95,7 @@
         return not status.is_on_trial and now_ns >= status.ejected_until_ns
 
     def on_attempt_sent(self, status: EndpointStatus) -> None:
-        """Record that an attempt at an ejected endpoint is its trial."""
+        """Record whether an attempt is the trial of an ejected endpoint."""
         status.is_on_trial = status.ejected_until_ns > 0
 
     def on_attempt_ended(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
@@ -100,7 +107,8 @@
         if result is AttemptResult.OK:
             status.succeeded_at_ns = now_ns
         elif result is AttemptResult.CONNECT_FAILED and now_ns - status.succeeded_at_ns < MAX_SILENCE_NS:
-            return  # the endpoint has recently answered on other connections
+            # A failed connection does not count if the endpoint has recently answered on other connections.
+            return
         is_failed = result is not AttemptResult.OK
         weight = self._outcome_weight(now_ns, status, result)
         status.failure_rate += weight * (is_failed - status.failure_rate)
@@ -112,7 +120,7 @@
             self.eject(now_ns, status, result)
 
     def reserve_ejection(self, status: EndpointStatus, result: AttemptResult) -> bool:
-        """Return whether a failure ejects the endpoint; at the limit, reinstate another one to allow it."""
+        """Return whether a failure ejects the endpoint; at the limit, another one may be reinstated."""
         is_unreachable = result is AttemptResult.CONNECT_FAILED
         if status.failure_rate < EJECTION_FAILURE_RATE:
             return False
@@ -131,6 +139,7 @@
 
     def eject(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
         """Eject an endpoint for a random duration, after an attempt with this result."""
+        # An ejection grows with the time for which an endpoint has had no success.
         # A shorter ejection has no effect on an endpoint that seldom gets requests of this node.
         silence_ns = min(status.silence_ns(now_ns), MAX_SILENCE_EJECTION_NS)
         ejection_ns = max(silence_ns, EJECTION_NS << status.ejection_doublings)
@@ -153,7 +162,7 @@
     def track(self, status: EndpointStatus) -> None:
         """Add an endpoint that is ready and ejected to `ejected`, with its present failure rate.
 
-        Has to be called when the endpoint becomes ready or ejected, and when its failure rate changes.
+        Callers use this when an endpoint becomes ready or ejected, and when its failure rate changes.
         """
         if not status.ejected_until_ns or not status.is_ready:
             return
@@ -165,7 +174,7 @@
             )
 
     def untrack(self, status: EndpointStatus) -> None:
-        """Remove an endpoint that is no longer ready from `ejected`; its ejection does not end."""
+        """Remove an endpoint that is no longer ready from `ejected`, without ending the ejection."""
         self.ejected.pop(status, None)
 
     def _end_trial(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
--- a/moleport/policy/quotas.py
+++ b/moleport/policy/quotas.py
@@ -34,8 +34,10 @@
 
     def __init__(self, tenants: tuple[api.Tenant, ...]) -> None:
         self._tenants = tenants
-        self._arrival_count = 0  # requests of all known tenants
-        self._buckets: dict[int, TokenBucket] = {}  # by tenant index
+        # number of requests that have arrived from all known tenants
+        self._arrival_count = 0
+        # token bucket of each tenant, by tenant index
+        self._buckets: dict[int, TokenBucket] = {}
 
     def is_over_quota(self, tenant_index: int) -> bool:
         """Count a request of a tenant, and return whether it exceeds the quota of the tenant.
--- a/moleport/policy/rejection_rates.py
+++ b/moleport/policy/rejection_rates.py
@@ -6,8 +6,8 @@
 The rate is kept by class, as an endpoint may reject some classes and serve others. Selection prefers
 endpoints with low rates; no endpoint is ejected for rejections.
 
-This guards against an overloaded endpoint that rejects requests at once. It has few requests in flight, and
-from their number alone would appear to be the least loaded endpoint.
+This guards against an overloaded endpoint that rejects requests at once. Such an endpoint has few requests in
+flight, and from their number alone would appear to be the least loaded one.
 """
 
 from __future__ import annotations
@@ -16,15 +16,18 @@
 from moleport.policy.state import EndpointStatus
 
 REJECTION_EWMA_WEIGHT = 0.2
-DECAY_FACTOR = 0.95  # per window
-MIN_TRACKED_RATE = 1e-3  # a lower rate is treated as 0
+# factor by which the rejection rates of endpoints decay per window
+DECAY_FACTOR = 0.95
+# rejection rate of an endpoint below which the rate is treated as 0
+MIN_TRACKED_RATE = 1e-3
 
 
 class RejectionRates:
-    """Updates `EndpointStatus.rejection_rates`."""
+    """Updates the rejection rates of endpoints, which `EndpointStatus.rejection_rates` holds."""
 
     def __init__(self) -> None:
-        self._affected: dict[EndpointStatus, None] = {}  # endpoints with a rejection rate
+        # endpoints that have a rejection rate for at least one request class
+        self._affected: dict[EndpointStatus, None] = {}
 
     def record(self, status: EndpointStatus, class_index: int, result: AttemptResult) -> None:
         """Record the result of an attempt; only successes and rejections count."""
@@ -37,7 +40,7 @@
             self._affected[status] = None
 
     def decay(self) -> None:
-        """Decay all rates at the end of a window, and remove endpoints whose rates are all small."""
+        """Decay all rejection rates at the end of a window; stop tracking endpoints with small rates only."""
         for status in list(self._affected):
             rates = status.rejection_rates
             if status.is_ready:
--- a/moleport/policy/retries.py
+++ b/moleport/policy/retries.py
@@ -2,11 +2,11 @@
 
 A request whose attempt has ended without an answer is retried unless
 
-- another attempt of it is in flight
+- another attempt of the request is in flight
 - the remaining time is at most MIN_REMAINING_MULTIPLE times the typical response time of its class
-- it has used the setting `max_attempts`
-- the retry budget does not cover it. Each first attempt adds RETRY_BUDGET_RATIO of a retry to the budget, up
-  to RETRY_BURST_ATTEMPTS. A retry of an attempt that did not reach its endpoint costs nothing
+- the request has used the setting `max_attempts`
+- the retry budget does not cover the retry. Each first attempt adds RETRY_BUDGET_RATIO of a retry to the
+  budget, up to RETRY_BURST_ATTEMPTS. A retry of an attempt that did not reach its endpoint costs nothing
 - no endpoint may be used (selection), or each one left could execute the request twice (state)
 
 A request that may not be retried gets its final answer (final_answers).
--- a/moleport/policy/selection.py
+++ b/moleport/policy/selection.py
@@ -47,7 +47,8 @@
 MAX_REJECTION_RATE = 0.5
 MAX_REJECTING_COUNT = 100
 REJECTION_PENALTY_REQUESTS = 2.0
-REJECTION_RATE_DIGIT_COUNT = 1  # rounds rates: a small remainder of an old rate must not break ties
+# decimal digits of a rejection rate that count: a small remainder of an old rate must not break ties
+REJECTION_RATE_DIGIT_COUNT = 1
 HIGH_UTILIZATION_RATIO = 0.7
 MIN_CONNECT_FAILURE_RATE = 0.1
 CONNECT_PENALTY_REQUESTS = 8.0
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -49,12 +49,20 @@
 from moleport.policy.state import EndpointStatus
 from moleport.policy.timing import WINDOW_NS
 
-CAPACITY_MARGIN_RATIO = 0.8  # requests cost more than usual while caches are empty
-MAX_TOKEN_COUNT = 2.0  # one token is one request
-FLEET_INITIAL_TOKEN_COUNT = 3.0  # of all nodes together: a fleet of one endpoint needs its first requests
-UNPROVEN_COUNT = 3  # requests that an endpoint of any capacity survives within the overload window
-RATE_DECAY_FACTOR = 0.99  # per window
-ARRIVAL_EWMA_WEIGHT = 0.5  # weight of the newest window
+# fraction of the assumed capacity of an endpoint in slow start that is used
+# Requests cost more than usual while the caches of an endpoint are empty.
+CAPACITY_MARGIN_RATIO = 0.8
+# largest number of tokens of an endpoint in slow start; one token is one request
+MAX_TOKEN_COUNT = 2.0
+# lowest number of initial tokens of an endpoint, of all nodes together
+# A fleet of one endpoint needs its first requests.
+FLEET_INITIAL_TOKEN_COUNT = 3.0
+# number of requests within the overload window that an endpoint of any capacity survives
+UNPROVEN_COUNT = 3
+# factor per window by which the measured request rate of warm endpoints decays
+RATE_DECAY_FACTOR = 0.99
+# weight of the newest window in the moving mean of the arrival rate of requests
+ARRIVAL_EWMA_WEIGHT = 0.5
 
 
 class SlowStart:
@@ -77,17 +85,26 @@
         self._random = random
         self._endpoints = endpoints
         self._outliers = outliers
-        self._warming: dict[EndpointStatus, None] = {}  # ready endpoints, warming up at the last check
-        self._warm_units = 0  # weight of the ready endpoints that are warm
-        self._window_answers = 0  # requests answered by warm endpoints in the current window
+        # ready endpoints that were still warming up at the last check
+        self._warming: dict[EndpointStatus, None] = {}
+        # total weight of the ready endpoints that are warm, in units
+        self._warm_units = 0
+        # number of requests that warm endpoints answered successfully in the current window
+        self._window_answers = 0
         self.window_arrivals = 0
         """Requests that arrived in the current window."""
-        self._warm_answers = 0.0  # decaying sum of answers
-        self._warm_weight_ns = 0.0  # decaying sum of warm weight times ns
-        self._measured_ns = 0.0  # decaying sum of ns
-        self._warm_request_rate = 0.0  # answers per ns and unit of weight; 0: not known
-        self._assumed_request_rate = 0.0  # used while the warm rate is not known
-        self._arrival_rate = 0.0  # requests per ns
+        # decaying sum of the successful answers of warm endpoints
+        self._warm_answers = 0.0
+        # decaying sum over all windows of the weight of the warm endpoints times the window length in ns
+        self._warm_weight_ns = 0.0
+        # decaying sum of the lengths of all windows in ns
+        self._measured_ns = 0.0
+        # successful answers of warm endpoints per ns and weight of 1.0; 0: not known
+        self._warm_request_rate = 0.0
+        # requests per ns and weight of 1.0 that are assumed while no warm endpoint has been measured
+        self._assumed_request_rate = 0.0
+        # moving mean of the arrival rate at this node, in requests per ns
+        self._arrival_rate = 0.0
         self._burst_ratio = 1.0
 
     def capacity_ratio(self, now_ns: int, endpoint: api.Endpoint) -> float:
@@ -161,7 +178,7 @@
         self._warming[status] = None
 
     def remove_ready(self, status: EndpointStatus) -> None:
-        """Remove an endpoint that is no longer ready from the warm or warming ones."""
+        """Remove an endpoint that is no longer ready from the warm or the warming endpoints."""
         self._warm_units -= status.warm_weight_units
         status.warm_weight_units = 0
         self._warming.pop(status, None)
@@ -176,15 +193,17 @@
         return self._warm_units / WEIGHT_UNITS
 
     def end_window(self, now_ns: int) -> None:
-        """Update the rates from the counts of the window that ends."""
-        # Counts answers, as the loss of other endpoints raises the attempts at one beyond its capacity.
+        """Update the request rates from the counts of the window that ends."""
+        # The request rate of warm endpoints is measured by answers, not by attempts.
+        # The loss of other endpoints raises the attempts at one endpoint beyond its capacity.
         self._warm_answers = RATE_DECAY_FACTOR * self._warm_answers + self._window_answers
         weight_ns = WINDOW_NS * self.update_warm_weight(now_ns)
         self._warm_weight_ns = RATE_DECAY_FACTOR * self._warm_weight_ns + weight_ns
         self._measured_ns = RATE_DECAY_FACTOR * self._measured_ns + WINDOW_NS
         self.update_burst_ratio(now_ns)
         mean_rate = self._warm_answers / self._warm_weight_ns if self._warm_weight_ns else 0.0
-        # Falls slowly: shedding load lowers the number of answers, but not the capacity of an endpoint.
+        # The request rate of warm endpoints falls slowly.
+        # Shedding load lowers the number of answers, but not the capacity of an endpoint.
         self._warm_request_rate = max(mean_rate, RATE_DECAY_FACTOR * self._warm_request_rate)
         self._update_arrival_rate()
         self._assumed_request_rate = self._warm_request_rate or self._even_request_rate()
--- a/moleport/policy/state.py
+++ b/moleport/policy/state.py
@@ -11,7 +11,8 @@
 from moleport.policy import interface as api
 from moleport.policy.interface import NOT_EXECUTED, AttemptResult, DeduplicationScope, Idempotency
 
-REPEAT_TRANSIT_NS = 20_000_000  # time from writing the last byte of a repeat until the endpoint has it
+# time from writing the last byte of a repeated request until the endpoint has received the request
+REPEAT_TRANSIT_NS = 20_000_000
 
 
 @dataclass(slots=True, eq=False)
@@ -21,31 +22,31 @@
     endpoint: api.Endpoint
     """Entry of the endpoint in the endpoint list. Owner: endpoint_registry."""
     slow_start_tokens: float
-    """Requests that may be sent to it during slow start. Owner: slow_start."""
+    """Number of requests that may be sent to the endpoint during slow start. Owner: slow_start."""
     slow_start_refilled_at_ns: int
-    """When the tokens were last refilled. Owner: slow_start."""
+    """Time at which the slow start tokens were last refilled. Owner: slow_start."""
     unproven_sent_at_ns: tuple[int, ...] = ()
-    """Send times of its last requests while its capacity was unknown, newest last. Owner: slow_start."""
+    """Send times of the last requests while the capacity is unknown, newest last. Owner: slow_start."""
     success_streak: int = 0
     """Successful attempts in slow start since the last failed one. Owner: slow_start."""
     in_flight: int = 0
-    """Attempts of this node in flight, or with a delayed release after a time-out. Owner: admission."""
+    """Attempts of this node in flight, or awaiting their release after a time-out. Owner: admission."""
     idle_since_ns: list[int] = field(default_factory=list)
     """Time at which each idle connection became idle, newest last. Owner: connection_health."""
     rejection_rates: dict[int, float] = field(default_factory=dict)
-    """By class index, the fraction of recent answers that were rejections, 0 to 1. Owner: rejection_rates."""
+    """Fraction of recent answers that were rejections, 0 to 1, by class index. Owner: rejection_rates."""
     utilization: float = 0.0
-    """Fraction of its cores in use, 0 to 1, as last reported or assumed. Owner: load_reports."""
+    """Fraction of the endpoint's cores in use, 0 to 1, as last reported or assumed. Owner: load_reports."""
     response_time_ratio: float = 1.0
-    """Mean of its response times, each divided by the typical one of the class. Owner: admission."""
+    """Mean of response times divided by the typical time of the class. Owner: admission."""
     waiting_time_ratio: float = 1.0
-    """Like `response_time_ratio`, but includes the attempts that timed out. Owner: admission."""
+    """Mean as in `response_time_ratio`, but including attempts that timed out. Owner: admission."""
     succeeded_at_ns: int = 0
-    """Time of its last successful answer. Owner: outlier_detection."""
+    """Time of the last successful answer of the endpoint. Owner: outlier_detection."""
     listed_at_ns: int = 0
-    """Time at which this node was notified of the endpoint or its last restart. Owner: endpoint_registry."""
+    """Time when this node learnt of the endpoint or its last restart. Owner: endpoint_registry."""
     ring_position: int = 0
-    """Sort key on the ring of endpoint_subset, a hash of the id. Owner: endpoint_registry."""
+    """Hash of the endpoint id: sort key on the ring of endpoint_subset. Owner: endpoint_registry."""
     is_ready: bool = False
     """Whether the endpoint is among the ready ones. Owner: endpoint_registry."""
     warm_weight_units: int = 0
@@ -53,11 +54,11 @@
     failure_rate: float = 0.0
     """Fraction of recent attempts that failed, 0 to 1. Owner: outlier_detection."""
     ejected_until_ns: int = 0
-    """Time from which an ejected endpoint may get its trial; 0: not ejected. Owner: outlier_detection."""
+    """Time from which an ejected endpoint may get a trial; 0: not ejected. Owner: outlier_detection."""
     ejection_doublings: int = 0
-    """Number of doublings of the ejection by failed trials. Owner: outlier_detection."""
+    """Number of times that failed trials have doubled the ejection. Owner: outlier_detection."""
     is_on_trial: bool = False
-    """Whether the attempt that decides on reinstatement is in flight. Owner: outlier_detection."""
+    """Whether the trial attempt that decides on reinstatement is in flight. Owner: outlier_detection."""
 
     def silence_ns(self, now_ns: int) -> int:
         """Return the time without a successful answer since the endpoint was listed, in ns."""
@@ -78,9 +79,9 @@
     status: EndpointStatus
     sent_at_ns: int
     idle_ns: int
-    """Time for which its connection had been idle, in ns; 0: a new connection."""
+    """Time for which the connection of the attempt had been idle, in ns; 0: a new connection."""
     result: AttemptResult | None = None
-    """None while the attempt is in flight."""
+    """Result of the attempt; None while the attempt is in flight."""
 
 
 @dataclass(slots=True, eq=False)
@@ -93,10 +94,10 @@
     request: api.Request
     request_class: api.RequestClass
     answer_deadline_ns: int
-    """Time after which an answer has no value; the node does not wait for it any longer."""
+    """Time after which an answer has no value; the node stops waiting for the answer then."""
     attempts: list[AttemptRecord] = field(default_factory=list)
     is_closed: bool = False
-    """The client has its final answer or has disconnected. Owners: balancer, final_answers."""
+    """Whether the client has the final answer or has disconnected. Owners: balancer, final_answers."""
 
     def is_complete(self) -> bool:
         """Return whether the request is closed and none of its attempts is in flight."""
--- a/moleport/policy/timing.py
+++ b/moleport/policy/timing.py
@@ -4,7 +4,8 @@
 
 from random import Random
 
-WINDOW_NS = 500_000_000  # time between two updates of rates and caps
+# length of a measurement window: the time between two updates of rates and caps
+WINDOW_NS = 500_000_000
 
 
 def jittered_ns(random: Random, max_ns: int, min_ratio: float) -> int:
