--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -84,7 +84,7 @@
         self.breakers = [
             CircuitBreaker(request_class.latency_objective_ns) for request_class in settings.classes
         ]
-        """Circuit breakers by class index."""
+        """Circuit breaker of each request class, by class index."""
         self.caps = [0.0] * len(settings.classes)
         """Cap of each class, by class index, in attempts of all classes in flight."""
 
@@ -167,7 +167,7 @@
             breaker.samples_ns.append(elapsed_ns if is_answered else FAILED_SAMPLE_FACTOR * elapsed_ns)
 
     def end_window(self, now_ns: int) -> None:
-        """Update all breakers and caps from the samples of the window that ends."""
+        """Update all circuit breakers and caps from the response times in the window that ends."""
         self.in_flight.add(now_ns, 0)
         initial_threshold = self.initial_threshold()
         has_headroom = self._load_reports.has_headroom(len(self._endpoints.ready))
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -212,7 +212,10 @@
         return True
 
     def _retry(self, now_ns: int, active: ActiveRequest, result: AttemptResult) -> bool:
-        """Send a further attempt if none is in flight and one is allowed; return whether one is in flight."""
+        """Retry a request if none of its attempts is in flight and a retry is allowed.
+
+        Returns whether an attempt of the request is in flight.
+        """
         if any(attempt.result is None for attempt in active.attempts):
             return True
         if not self._retries.may_retry(now_ns, active, result):
@@ -237,7 +240,7 @@
     def _record_evidence(
         self, now_ns: int, active: ActiveRequest, attempt: AttemptRecord, outcome: api.AttemptOutcome
     ) -> bool:
-        """Record an outcome, and return whether its result is evidence about the endpoint itself."""
+        """Record the outcome of an attempt; return whether the result is evidence about the endpoint."""
         is_lost_on_idle = self._connections.on_attempt_ended(now_ns, attempt)
         if outcome.result is AttemptResult.OK:
             self._load_reports.on_success(attempt.status)
--- a/moleport/policy/candidate_index.py
+++ b/moleport/policy/candidate_index.py
@@ -37,11 +37,11 @@
         self._own_zone_ratio = 0
 
     def __len__(self) -> int:
-        """Return the number of endpoints."""
+        """Return the number of endpoints in the index."""
         return len(self._all_zones_grid)
 
     def has_equal_weights(self) -> bool:
-        """Return whether all endpoints have the same weight."""
+        """Return whether all endpoints in the index have the same weight."""
         return self._all_zones_grid.has_equal_weights()
 
     def own_zone_ratio(self) -> float:
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -40,7 +40,7 @@
 MAX_IDLE_BOUND_DOUBLINGS = 32.0
 
 ANSWERED = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED, AttemptResult.CLIENT_ERROR)
-"""Results after which the connection is idle and can be reused."""
+"""Results of an attempt after which the connection of the attempt is idle and can be reused."""
 
 
 class ConnectionHealth:
--- a/moleport/policy/discovery_polling.py
+++ b/moleport/policy/discovery_polling.py
@@ -52,7 +52,7 @@
         self._failure_count = 0
 
     def start(self, now_ns: int) -> None:
-        """Set the timer of the first poll."""
+        """Set the timer of the first poll of discovery."""
         if not self._is_polling:
             return
         first_poll_ns = int(self._poll_interval_ns * FIRST_POLL_RATIO)
@@ -74,7 +74,7 @@
         self._polled_at_ns = None
 
     def on_failure(self, now_ns: int) -> None:
-        """Set the timer of the next poll after a failed poll or a broken watch."""
+        """Set the timer of the next poll of discovery after a failed poll or a broken watch."""
         self._is_watching = False
         missed_ns = WATCH_SILENCE_NS if self._polled_at_ns is None else now_ns - self._polled_at_ns
         max_backoff_ns = max(MIN_BACKOFF_NS, (NOTIFICATION_LIMIT_NS - POLL_TIMEOUT_NS - missed_ns) // 2)
@@ -83,7 +83,7 @@
         self._set_timer(now_ns, min(backoff_ns, max_backoff_ns, self._poll_interval_ns), MIN_JITTER_RATIO)
 
     def on_empty_list(self, now_ns: int) -> None:
-        """Set an earlier timer, after a list without ready endpoints, unless a watch is open."""
+        """Set an earlier poll timer after a list without ready endpoints, unless a watch is open."""
         if self._is_polling and not self._is_watching:
             self._set_timer(now_ns, INITIAL_BACKOFF_NS, MIN_JITTER_RATIO)
 
--- a/moleport/policy/endpoint_registry.py
+++ b/moleport/policy/endpoint_registry.py
@@ -28,7 +28,7 @@
 
 
 class EndpointRegistry:
-    """Adds, updates and removes endpoints."""
+    """Adds, updates and removes endpoints according to updates of the endpoint list."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._changed: dict[api.EndpointId, None] = {}
 
     def apply_update(self, now_ns: int, update: api.EndpointUpdate) -> None:
-        """Apply an update that contains entries; its kind must not be `FAILED`."""
+        """Apply an update of the endpoint list; the kind of the update must not be `FAILED`."""
         listed = {endpoint.id: endpoint for endpoint in update.endpoints}
         if update.kind is not EndpointUpdateKind.DELTA:
             self._remove_unlisted(listed)
--- a/moleport/policy/endpoint_set.py
+++ b/moleport/policy/endpoint_set.py
@@ -17,4 +17,4 @@
         self.candidates: CandidateIndex[EndpointStatus] = CandidateIndex(zone)
         """The ready endpoints by hash of the key."""
         self.version = 0
-        """Number of updates applied so far; detects that the ready endpoints may have changed."""
+        """Number of list updates applied so far; detects that the ready endpoints may have changed."""
--- a/moleport/policy/endpoint_subset.py
+++ b/moleport/policy/endpoint_subset.py
@@ -73,7 +73,7 @@
 
 
 class Arc:
-    """The part of a ring that one node uses."""
+    """The part of a ring of endpoints that one node uses."""
 
     def __init__(self, ring: Ring, start: float, width: float, node_count: float) -> None:
         """Create an arc of about `width` endpoints from `start`, on a ring shared by `node_count` nodes."""
--- a/moleport/policy/final_answers.py
+++ b/moleport/policy/final_answers.py
@@ -25,7 +25,7 @@
         self._actions = actions
 
     def finish(self, active: ActiveRequest) -> None:
-        """Close a request; reject it if it is safe to repeat, otherwise fail it."""
+        """Close a request: reject a request that is safe to repeat, fail any other one."""
         active.is_closed = True
         if active.may_reject():
             self.reject(active)
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -16,7 +16,7 @@
 MEMORY_REQUESTS = 6.0
 """Number of requests that are remembered per endpoint; older requests decay."""
 MIN_REMEMBERED_REQUESTS = 0.5
-"""A key is removed when its decayed count falls below this number."""
+"""A key is removed when the decayed request count of the key falls below this number."""
 MAX_SCALE_FACTOR = 1e100
 """The scale of the request counts is reset above this factor, which is far below the largest float."""
 
@@ -55,7 +55,7 @@
         self._total += self._scale
 
     def update(self, endpoint_count: int) -> None:
-        """Find the hot keys, then decay the counts to MEMORY_REQUESTS per endpoint."""
+        """Find the hot keys, then decay the request counts to MEMORY_REQUESTS per endpoint."""
         total = self._total / self._scale
         self._update_fan_out(endpoint_count, total)
         decay_ratio = min(1.0, MEMORY_REQUESTS * endpoint_count / max(1.0, total))
@@ -91,7 +91,7 @@
                 self._total -= count
 
     def _reset_scale(self) -> None:
-        """Divide all counts by the scale, as they would overflow after some hours otherwise."""
+        """Divide all request counts by the scale, as the counts would overflow after some hours otherwise."""
         self._counts = {key: count / self._scale for key, count in self._counts.items()}
         self._count_heap = [(count, key) for key, count in self._counts.items()]
         heapify(self._count_heap)
--- a/moleport/policy/interface.py
+++ b/moleport/policy/interface.py
@@ -272,7 +272,7 @@
 
     request_id: int
     is_half_closed: bool = False
-    """Whether the client may have closed only its sending side, and then still gets a final answer."""
+    """Whether the client may have closed only its sending side; it then still gets a final answer."""
 
 
 class TimerFired(NamedTuple):
@@ -323,7 +323,7 @@
 
 
 class WatchEndpoints(NamedTuple):
-    """Action: poll discovery for the endpoint list, and watch it for later changes."""
+    """Action: poll discovery for the endpoint list, and watch the list for later changes."""
 
 
 class EndpointEjected(NamedTuple):
--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -37,11 +37,11 @@
 
 @dataclass(slots=True)
 class KeyQueue:
-    """The requests with one key, in order; only the first one may have attempts."""
+    """The requests with one key, in order; only the first request may have attempts."""
 
     requests: deque[ActiveRequest] = field(default_factory=deque)
     cooldown_until_ns: int = 0
-    """Time before which the next request with this key is not sent."""
+    """Time before which the next request with the key of this queue is not sent."""
 
 
 class KeyOrdering:
@@ -75,7 +75,7 @@
         self._queues: dict[int, KeyQueue] = {}
 
     def enqueue(self, now_ns: int, active: ActiveRequest) -> bool:
-        """Send or queue a request; return False if it can't be sent, or not in time."""
+        """Send or queue a request; return False if the request can't be sent, or not in time."""
         key = active.request.key
         queue = self._queues.get(key)
         if queue is None:
@@ -101,7 +101,7 @@
             self._send_next(active.request.key, now_ns)
 
     def _register_waiting(self, now_ns: int, active: ActiveRequest, queue: KeyQueue) -> bool:
-        """Set the timer for a request that has to wait; return False if it could not be sent in time."""
+        """Set the timer for a request that has to wait; return False if that would be too late."""
         typical_response_ns = int(self._admission.typical_response_ns(active.request.class_index))
         open_ahead_count = sum(1 for other in queue.requests if not other.is_closed)
         latest_ns = active.answer_deadline_ns - typical_response_ns
--- a/moleport/policy/load_reports.py
+++ b/moleport/policy/load_reports.py
@@ -23,7 +23,7 @@
 
 
 class LoadReports:
-    """Keeps the utilization of each endpoint, and the sum over the ready endpoints."""
+    """Keeps the utilization of each endpoint, and the sum of the utilization of the ready endpoints."""
 
     def __init__(self, settings: api.Settings, hardware_types: HardwareTypes) -> None:
         self._fields = settings.load_report_fields
@@ -33,7 +33,7 @@
         self._total_units = 0
 
     def has_headroom(self, ready_count: int) -> bool:
-        """Return whether endpoints report their utilization and the mean of the ready ones is low."""
+        """Return whether endpoints report their utilization and the mean of the ready endpoints is low."""
         return (
             self._has_utilization
             and self._total_units < HEADROOM_UTILIZATION_RATIO * ready_count * UTILIZATION_UNITS
@@ -57,11 +57,11 @@
             self._record_utilization(status, min(1.0, max(0.0, values[UTILIZATION])))
 
     def add_ready(self, status: EndpointStatus) -> None:
-        """Add the utilization of an endpoint that has become ready to the sum."""
+        """Add the utilization of an endpoint that has become ready to the sum of the ready ones."""
         self._total_units += int(status.utilization * UTILIZATION_UNITS)
 
     def remove_ready(self, status: EndpointStatus) -> None:
-        """Subtract the utilization of an endpoint that is no longer ready from the sum."""
+        """Subtract the utilization of an endpoint that is no longer ready from the sum of the ready ones."""
         self._total_units -= int(status.utilization * UTILIZATION_UNITS)
 
     def _record_utilization(self, status: EndpointStatus, utilization: float) -> None:
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -84,7 +84,7 @@
         self._random = random
         self._fleet_failure_rate = 0.0
         self.notices: deque[api.Notice] = deque(maxlen=MAX_NOTICE_COUNT)
-        """Ejections and reinstatements that the caller has not removed yet, the oldest first."""
+        """Ejections and reinstatements of endpoints that the caller has not removed yet, the oldest first."""
         self.ejected: dict[EndpointStatus, None] = {}
         """The ready endpoints that are ejected; a dict, as the order of a set differs between processes."""
         # heap of (failure rate, id) of the ejected endpoints; some entries are out of date
@@ -99,7 +99,7 @@
         status.is_on_trial = status.ejected_until_ns > 0
 
     def on_attempt_ended(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
-        """Update the failure rates; eject or reinstate the endpoint."""
+        """Update the failure rates after an attempt, and eject or reinstate the endpoint accordingly."""
         was_on_trial = status.is_on_trial
         status.is_on_trial = False
         if result in NOT_COUNTED:
@@ -120,7 +120,10 @@
             self.eject(now_ns, status, result)
 
     def reserve_ejection(self, status: EndpointStatus, result: AttemptResult) -> bool:
-        """Return whether a failure ejects the endpoint; at the limit, another one may be reinstated."""
+        """Return whether a failure ejects an endpoint.
+
+        At the limit of ejected endpoints, one with a clearly lower failure rate is reinstated to make room.
+        """
         is_unreachable = result is AttemptResult.CONNECT_FAILED
         if status.failure_rate < EJECTION_FAILURE_RATE:
             return False
--- a/moleport/policy/retries.py
+++ b/moleport/policy/retries.py
@@ -37,7 +37,7 @@
         self._budget = RETRY_BURST_ATTEMPTS
 
     def on_first_attempt(self) -> None:
-        """Add the retry ratio of one first attempt to the budget."""
+        """Add RETRY_BUDGET_RATIO to the retry budget, for the first attempt of a request."""
         self._budget = min(RETRY_BURST_ATTEMPTS, self._budget + RETRY_BUDGET_RATIO)
 
     def may_retry(self, now_ns: int, active: ActiveRequest, result: AttemptResult) -> bool:
@@ -51,7 +51,7 @@
         return self._budget >= _budget_cost(result)
 
     def on_retry(self, result: AttemptResult) -> None:
-        """Subtract the cost of a retry after this result from the budget."""
+        """Subtract the cost of a retry from the retry budget; the cost depends on the last result."""
         self._budget -= _budget_cost(result)
 
 
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -211,7 +211,7 @@
         self.window_arrivals = 0
 
     def update_burst_ratio(self, now_ns: int) -> None:
-        """Adapt the fraction of the selections that may spend tokens to the remaining capacity."""
+        """Adapt the fraction of the selections that may spend slow start tokens to the remaining capacity."""
         present = self.update_warm_weight(now_ns) + sum(
             self._capacity(now_ns, status) for status in self._warming
         )
