--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -37,11 +37,11 @@
 
 @dataclass(slots=True)
 class KeyQueue:
-    """The requests with one key, in order; only the first one may have attempts."""
+    """The requests with one key, in order; only the first request may have attempts."""
 
     requests: deque[ActiveRequest] = field(default_factory=deque)
     cooldown_until_ns: int = 0
-    """Time before which the next request with this key is not sent."""
+    """Time before which the next request with the key of this queue is not sent."""
 
 
 class KeyOrdering:
@@ -71,10 +71,11 @@
         self._actions = actions
         self._send_first = send_first
         self._finish_unsent = finish_unsent
-        self._queues: dict[int, KeyQueue] = {}  # by key
+        # queue of the requests with each ordered key, by key
+        self._queues: dict[int, KeyQueue] = {}
 
     def enqueue(self, now_ns: int, active: ActiveRequest) -> bool:
-        """Send or queue a request; return False if it can't be sent, or not in time."""
+        """Send or queue a request; return False if the request can't be sent, or not in time."""
         key = active.request.key
         queue = self._queues.get(key)
         if queue is None:
@@ -95,12 +96,12 @@
             queue.cooldown_until_ns = now_ns + self._key_cooldown_ns
 
     def on_request_complete(self, now_ns: int, active: ActiveRequest) -> None:
-        """Send the next request with the same key."""
+        """Send the next request with the key of a request that is complete."""
         if active.request.key in self._queues:
             self._send_next(active.request.key, now_ns)
 
     def _register_waiting(self, now_ns: int, active: ActiveRequest, queue: KeyQueue) -> bool:
-        """Set the timer for a request that has to wait; return False if it could not be sent in time."""
+        """Set the timer for a request that has to wait; return False if that would be too late."""
         typical_response_ns = int(self._admission.typical_response_ns(active.request.class_index))
         open_ahead_count = sum(1 for other in queue.requests if not other.is_closed)
         latest_ns = active.answer_deadline_ns - typical_response_ns
--- a/moleport/policy/retries.py
+++ b/moleport/policy/retries.py
@@ -2,11 +2,11 @@
 
 A request whose attempt has ended without an answer is retried unless
 
-- another attempt of it is in flight
+- another attempt of the request is in flight
 - the remaining time is at most MIN_REMAINING_MULTIPLE times the typical response time of its class
-- it has used the setting `max_attempts`
-- the retry budget does not cover it. Each first attempt adds RETRY_BUDGET_RATIO of a retry to the budget, up
-  to RETRY_BURST_ATTEMPTS. A retry of an attempt that did not reach its endpoint costs nothing
+- the request has used the setting `max_attempts`
+- the retry budget does not cover the retry. Each first attempt adds RETRY_BUDGET_RATIO of a retry to the
+  budget, up to RETRY_BURST_ATTEMPTS. A retry of an attempt that did not reach its endpoint costs nothing
 - no endpoint may be used (selection), or each one left could execute the request twice (state)
 
 A request that may not be retried gets its final answer (final_answers).
@@ -37,7 +37,7 @@
         self._budget = RETRY_BURST_ATTEMPTS
 
     def on_first_attempt(self) -> None:
-        """Add the retry ratio of one first attempt to the budget."""
+        """Add RETRY_BUDGET_RATIO to the retry budget, for the first attempt of a request."""
         self._budget = min(RETRY_BURST_ATTEMPTS, self._budget + RETRY_BUDGET_RATIO)
 
     def may_retry(self, now_ns: int, active: ActiveRequest, result: AttemptResult) -> bool:
@@ -51,7 +51,7 @@
         return self._budget >= _budget_cost(result)
 
     def on_retry(self, result: AttemptResult) -> None:
-        """Subtract the cost of a retry after this result from the budget."""
+        """Subtract the cost of a retry from the retry budget; the cost depends on the last result."""
         self._budget -= _budget_cost(result)
 
 
