--- a/moleport/__main__.py
+++ b/moleport/__main__.py
@@ -45,11 +45,11 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.on_signal)
     dispatcher.start()
     if early_sighups:
-        # The configuration file may have changed between its first read and a SIGHUP during the start.
+        # A SIGHUP during the start may announce a configuration file that changed after its first read.
         reloader.on_signal()
     await _wait_for_first(dispatcher.wait_until_endpoints_known(), stop_requested.wait())
     if stop_requested.is_set():
-        # The node has accepted no clients yet, so there are no requests to complete.
+        # A node that is stopped before it listens has no clients, so it has no requests to complete.
         dispatcher.telemetry.report()
         _ignore_reloads(loop)
         return 0
@@ -61,7 +61,7 @@
             file=sys.stderr,
         )
         return INVALID_CONFIG_EXIT_CODE
-    # Objects from the start of the process live until its end, so the garbage collector need not visit them.
+    # Objects from the start of the node live as long as its process, so the garbage collector skips them.
     gc.freeze()
     gc.enable()
     log.info("serving on %s:%d", *address)
--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -54,24 +54,31 @@
 _LENGTH = struct.Struct("<I")
 _BATCH_HEADER = struct.Struct("<QI")
 _REPLY_HEADER = struct.Struct("<II")
-# layout of a list entry in a ROSTER record, in the order of the fields of `ListEntry`
+# layout of one endpoint in a ROSTER record, with its fields in the order of `ListEntry`
 _LIST_ENTRY = struct.Struct("<6sBHHBfQ")
 _FLOAT_BYTES = 4
 _ACTION_COUNT_BYTES = 4
-# number of bytes to which text in an output record is truncated; the length field of a text allows 65_535
+# number of bytes to which the text in an output record is truncated; its u16 length field allows 65_535
 _MAX_TEXT_BYTES = 60_000
 
-# Layouts of output records, by action code. The action code comes first, then the listed fields.
+# Layouts of output records without text, by action code. Each record begins with its action code (u8).
 _ACTION_LAYOUTS = {
-    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),  # FORWARD action: request id, endpoint id, timeout in ns
-    ActionCode.BUSY: struct.Struct("<BQQ"),  # BUSY action: request id, value of Retry-After in ns
-    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),  # REPORT_FAILURE action: request id
-    ActionCode.WAKE_AT: struct.Struct("<BQI"),  # WAKE_AT action: clock time of the timer in ns, timer id
-    ActionCode.HANG_UP: struct.Struct("<B6s"),  # HANG_UP action: endpoint id
-    ActionCode.LISTEN: struct.Struct("<BB"),  # LISTEN action: constant 1
-    ActionCode.SOURCE: struct.Struct("<BH"),  # SOURCE action: number of the instance that acts next
+    # fields of a FORWARD record after the action code: request id, endpoint id, timeout of the attempt in ns
+    ActionCode.FORWARD: struct.Struct("<BQ6sQ"),
+    # fields of a BUSY record after the action code: request id, time in ns that Retry-After states
+    ActionCode.BUSY: struct.Struct("<BQQ"),
+    # field of a REPORT_FAILURE record after the action code: request id
+    ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),
+    # fields of a WAKE_AT record after the action code: clock time in ns at which the timer fires, timer id
+    ActionCode.WAKE_AT: struct.Struct("<BQI"),
+    # field of a HANG_UP record after the action code: id of the endpoint whose idle connections close
+    ActionCode.HANG_UP: struct.Struct("<B6s"),
+    # field of a LISTEN record after the action code: constant 1, which starts a watch of the endpoint list
+    ActionCode.LISTEN: struct.Struct("<BB"),
+    # field of a SOURCE record after the action code: number of the module instance whose actions follow
+    ActionCode.SOURCE: struct.Struct("<BH"),
 }
-# header of an output record with text: action code, number of bytes of the text that follows
+# header of an output record with text: action code, number of bytes of the UTF-8 text that follows
 _TEXT_HEADER = struct.Struct("<BH")
 
 
--- a/moleport/adapter/translation.py
+++ b/moleport/adapter/translation.py
@@ -34,8 +34,8 @@
 
 _T = TypeVar("_T")
 
-# Update kind 1 of the protocol is missing, as the decision module has no event for this kind.
-# A SYNC record with update kind 1 raises WireError.
+# Endpoint update kind 1 of the simulator's protocol has no event of the decision module.
+# A SYNC record with endpoint update kind 1 therefore raises WireError.
 UPDATE_KINDS = {
     0: api.EndpointUpdateKind.CACHED,
     2: api.EndpointUpdateKind.DELTA,
@@ -72,7 +72,7 @@
 def encode_action(action: api.Action) -> bytes:
     """Encode an action of the decision module as an output record."""
     if isinstance(action, api.Forward):
-        # `Forward.write_deadline_ns` is not encoded, as the protocol has no field for a write deadline.
+        # `Forward.write_deadline_ns` is not encoded, as a FORWARD record has no field for a write deadline.
         return frames.encode_action(
             ActionCode.FORWARD, action.request_id, action.endpoint_id, action.timeout_ns
         )
@@ -113,7 +113,8 @@
     def __init__(self) -> None:
         """Create an adapter without instances and endpoint lists."""
         self._balancers: dict[int, Balancer] = {}
-        self._class_counts: dict[int, int] = {}  # number of request classes in the settings, by instance
+        # number of request classes in the settings of each decision module instance, by instance number
+        self._class_counts: dict[int, int] = {}
         self._endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}
 
     def reply_to(self, frame: bytes) -> bytes:
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -83,8 +83,8 @@
     host, _, port = text.rpartition(":")
     try:
         if ":" in host:
-            # inet_pton does not accept the scope id of an IPv6 address; ip_address does.
-            # The import of ipaddress is local because it would slow down each start of the node.
+            # The function inet_pton rejects an IPv6 address with a scope id; ip_address accepts it.
+            # The import of ipaddress is local, as a global import would slow down each start of the node.
             from ipaddress import ip_address
 
             ip_address(host)
@@ -139,18 +139,18 @@
         if not isinstance(endpoint_id, str):
             raise ValueError("endpoint id is not text")
         if not endpoint_id.isascii():
-            # The encoding fails for an endpoint id with a lone surrogate, which could not be hashed either.
+            # An endpoint id with a lone surrogate raises an error here: its hash needs the UTF-8 encoding.
             endpoint_id.encode()
         weight = float(entry.get("weight", DEFAULT_WEIGHT))
         return DiscoveredEndpoint(
             endpoint_id,
             address,
-            # Names of zones and hardware types are interned, as thousands of entries share a few names.
+            # Names of zones and hardware types are interned, as thousands of endpoints share a few names.
             intern(str(entry.get("zone", ""))),
             intern(str(entry.get("kind", ""))),
             int(entry.get("cell", 0)),
             state,
-            # The default weight replaces NaN too, as each comparison with NaN is false.
+            # The default weight of an endpoint replaces NaN too, as each comparison with NaN is false.
             weight if 0.0 < weight < inf else DEFAULT_WEIGHT,
             max(0, int(entry.get("started_ms", 0))),
         )
