--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -29,15 +29,18 @@
 from soak.servers import DiscoveryAgent, FaultProxy, Server
 
 NS_PER_MS = 1_000_000
-# time from a watch's silence until its node counts as notified of the changes that the node missed
+# time after a discovery watch becomes silent by which its node must know the endpoint updates it missed
 SILENCE_NOTIFIED_SECONDS = 6.0
-HEARTBEAT_SECONDS = 0.005  # period at which the driver of the soak measures its event loop's delay
-# error numbers of a node's local faults, from ENOMEM (12) to EHOSTUNREACH (113)
+HEARTBEAT_SECONDS = 0.005  # interval at which the soak's driver process measures its event loop's delay
+# errno values of the `fail_calls` fault, which makes accept or connect calls of a node fail: ENOMEM, ENFILE,
+# EMFILE, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ECONNABORTED, ENOBUFS, EHOSTUNREACH
 ERROR_NUMBERS = (12, 23, 24, 99, 100, 101, 103, 105, 113)
-MAX_END_SECONDS = 30.0  # time from the end of the load until the run of a seed must have ended
-CROWDED_RUNS_RATIO = 0.3  # probability that the run of a seed has crowds of idle clients
-CROWD_CLIENT_COUNT = 200  # number of idle clients that connect to a node with 256 descriptors
-CLOCK_STEPS_MS = (-3_600_000, -2_000, 2_000, 3_600_000)  # steps of the nodes' wall clocks, in ms
+# time that the run of a seed may take in addition to its load, for the start and the shutdown of the nodes
+MAX_END_SECONDS = 30.0
+CROWDED_RUNS_RATIO = 0.3  # probability that crowds of idle clients are among the faults of a seed
+CROWD_CLIENT_COUNT = 200  # number of idle clients in a crowd, which connect to one node with 256 descriptors
+# steps in ms, of which a `step_clocks` fault adds a random one to the wall clocks of all nodes
+CLOCK_STEPS_MS = (-3_600_000, -2_000, 2_000, 3_600_000)
 
 
 def request_class(name: str, semantics: str) -> dict[str, Any]:
@@ -103,10 +106,11 @@
         self._document = document
         self._version = 10
         self._fault_tasks: set[asyncio.Task[None]] = set()
-        self._busy_nodes: set[str] = set()  # names of nodes at which an exclusive fault is active
+        # names of nodes with an active `restart`, `reload` or `lose_agent` fault (at most one per node)
+        self._busy_nodes: set[str] = set()
         self._wall_offset_ms = 0
 
-    # Methods that build the endpoint list and send it to the nodes' discovery agents
+    # Methods that build and publish endpoint lists, and calculate when a node must know a published change
 
     def _list_entry(self, proxy: FaultProxy) -> dict[str, Any]:
         server = proxy.server
@@ -133,14 +137,14 @@
             agent.publish(self._version, complete, list(changed))
 
     def _notified_at(self, node: NodeProcess, now: float) -> float:
-        """Return the monotonic time at which a change published at `now` counts as notified to a node."""
+        """Return the monotonic time by which a node must know an endpoint change published at `now`."""
         agent = node.agents[node.agent_index]
         notified_at = max(now, node.notified_from)
         if agent.silent_since is not None:
             notified_at = max(notified_at, agent.silent_since + SILENCE_NOTIFIED_SECONDS)
         return notified_at
 
-    # Methods that inject one fault each, and are named like the fault in the report
+    # Methods that inject one fault each, and are named like the fault in the report of the soak
 
     async def _retire(self, proxy: FaultProxy) -> None:
         """Drain and remove a server, and add it again in slow start."""
@@ -272,7 +276,7 @@
             await asyncio.sleep(HEARTBEAT_SECONDS)
             self.observations.max_lag_seconds = max(self.observations.max_lag_seconds, time.monotonic() - due)
 
-    # Start, end and report of the run
+    # Methods that run a seed, kill all node processes, and return the figures of the run
 
     def kill_all(self) -> None:
         """Kill all node processes."""
@@ -285,7 +289,7 @@
             await server.start()
             await proxy.start()
         entries = [self._list_entry(proxy) for proxy in self._proxies]
-        # Nodes that restart later read the endpoint list from the start of the run, which is outdated then.
+        # A node that restarts during the run reads, as its cached list, the endpoint list of the run's start.
         self._document["known"] = {"version": 5, "full": True, "servers": entries}
         for node in self._nodes:
             for agent in node.agents:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -16,10 +16,12 @@
 from soak.oracle import ANSWER_GRACE_SECONDS, ClientRequest, Observations
 from soak.servers import read_message, reset
 
-GIVE_UP_SECONDS = 1.0  # time after ANSWER_GRACE_SECONDS for which a client still waits for a response
-# ratio of requests whose client disconnects early; ratio of invalid requests among those to nodes that are up
+# time for which a client still waits for a response after the request's deadline and ANSWER_GRACE_SECONDS
+GIVE_UP_SECONDS = 1.0
+# DISCONNECT_RATIO is the ratio of requests whose client disconnects without waiting for the response.
+# INVALID_REQUEST_RATIO is the ratio of invalid requests among the requests to nodes that are up.
 DISCONNECT_RATIO, INVALID_REQUEST_RATIO = 0.08, 0.04
-# time within which a node must answer an invalid request or close its connection
+# time within which a node must answer an invalid or incomplete request, or close the client's connection
 MAX_INVALID_CLIENT_SECONDS = 3.0
 INVALID_REQUESTS = (
     b"",
@@ -45,7 +47,7 @@
         while time.monotonic() < end:
             await asyncio.sleep(self._random.choice((0.01, 0.05, 0.2, 0.7, 2.4)))
             if not self._node.is_up:
-                # While the node shuts down or is down, the client uses an open connection until its end.
+                # A client of a node that is down or shutting down sends requests on an open connection only.
                 await self._send_request()
                 continue
             if self._random.random() < INVALID_REQUEST_RATIO:
@@ -89,9 +91,9 @@
                 return
             self._disconnect()
             if request.request_id in self._observations.attempts:
-                # A server received the request: the oracle decides whether the node's close is a violation.
+                # The client never repeats a request that a server received; the oracle judges its response.
                 return
-            # The node closed the connection without reading the request, so the client repeats the request.
+            # The client repeats a request if the node closed the connection before a server received it.
 
     def _request_bytes(self, request: ClientRequest) -> bytes:
         method, class_name = (b"POST", b"order") if request.at_most_once else (b"GET", b"page")
--- a/soak/nodes.py
+++ b/soak/nodes.py
@@ -18,14 +18,17 @@
 from soak.servers import DiscoveryAgent
 from soak.shims import ROOT, Faults
 
-# ports that nodes listen on, below the ephemeral ports that Linux gives to outgoing connections
+# ports at which nodes listen for clients, below the ephemeral ports of Linux for outgoing connections
 LISTEN_PORTS = range(15_000, 30_000)
 MAX_READY_SECONDS = 10.0  # time from the start of a node's process until the node must be ready
-MAX_DEADLINE_SECONDS = 3.0  # longest request deadline that the platform waits for when it ends a node
-KILL_DELAY_SECONDS = 0.7  # shortest time from the end of the longest request deadline to SIGKILL
-NEW_CONNECTIONS_SECONDS = 0.3  # time after a node's SIGTERM for which clients still connect to the node
-MAX_SIGNAL_GAP_SECONDS = 0.005  # longest pause between two signals that the driver sends in a series
-SIGNAL_COUNT_BOUND = 4  # exclusive upper bound for the number of signals that the driver sends in a series
+# longest request deadline that the platform takes into account when it shuts a node down
+MAX_DEADLINE_SECONDS = 3.0
+# shortest time that the platform adds to the longest request deadline before it kills a node in shutdown
+KILL_DELAY_SECONDS = 0.7
+NEW_CONNECTIONS_SECONDS = 0.3  # time after SIGTERM to a node for which clients still connect to the node
+MAX_SIGNAL_GAP_SECONDS = 0.005  # longest pause between two consecutive signals to a node's process
+# exclusive upper bound of the random number of SIGHUP and SIGTERM signals to a node in one series
+SIGNAL_COUNT_BOUND = 4
 NS_PER_SECOND = 10**9
 LOGGED_FAULTS = ("Traceback", "invariant violated", "the policy failed", "action failed")
 
@@ -46,9 +49,9 @@
         self.name = name
         self.port = free_port()
         self.agents = [DiscoveryAgent(), DiscoveryAgent()]
-        self.agent_index = 0  # index of the discovery agent that the node's configuration names
-        self.is_up = False  # whether clients open new connections to the node
-        # earliest monotonic time, in seconds, at which an endpoint update counts as notified to the node
+        self.agent_index = 0  # index, 0 or 1, of the discovery agent that the node's configuration names
+        self.is_up = False  # whether clients of the soak open new connections to the node
+        # monotonic time in seconds before which the oracle does not expect the node to know endpoint updates
         self.notified_from = 0.0
         self.violations: list[Violation] = []
         self._folder = folder
@@ -198,7 +201,7 @@
         await self._wait_for_end(process)
 
     async def _wait_for_end(self, process: asyncio.subprocess.Process) -> None:
-        """Wait for the end of a process; kill the process after the shortest wait of the platform.
+        """Wait for the end of a process; kill the process after the shortest time that the platform waits.
 
         Record a violation if the process had to be killed.
         """
--- a/soak/oracle.py
+++ b/soak/oracle.py
@@ -13,12 +13,13 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-ANSWER_GRACE_SECONDS = 0.5  # time after a request's deadline within which its response is late, but not lost
-# time after a client's disconnection within which an attempt of its request may still begin
+ANSWER_GRACE_SECONDS = 0.5  # time after a request's deadline within which a late response is no violation
+# time after a client disconnects within which a server may still receive an attempt of the client's request
 DISCONNECT_GRACE_SECONDS = 0.1
-# time after the notification of a drain for which a server may get attempts, with the platform's tolerance
+# time for which a node may still send attempts to a server after the notification of the server's drain,
+# with the platform's tolerance
 DRAIN_GRACE_SECONDS = 0.55
-# time by which the timeout that an attempt states may exceed the time until the request's deadline
+# time by which the timeout in an attempt's X-Deadline may exceed the time until its request's deadline
 DEADLINE_TOLERANCE_SECONDS = 0.15
 
 
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -27,7 +27,7 @@
     """Reset a TCP connection unless the connection has ended."""
     if writer.get_extra_info("socket") is None:
         return
-    # setsockopt raises ValueError if the descriptor of the socket is closed already.
+    # The setsockopt method raises ValueError if the descriptor of the socket is closed already.
     with suppress(OSError, RuntimeError, ValueError):
         connection_socket = writer.get_extra_info("socket")
         connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
@@ -52,7 +52,8 @@
 
     def __init__(self, handler: ConnectionHandler) -> None:
         super().__init__(asyncio.StreamReader(), lambda reader, writer: handler(self, reader, writer))
-        # monotonic time of the connection's end, in seconds; None while the connection is open
+        # monotonic time, in seconds, at which a connection to the server ended or its peer ended its sending;
+        # None until then
         self.ended_at: float | None = None
 
     def eof_received(self) -> bool:
@@ -149,7 +150,7 @@
         if behaviour == "slow":
             await asyncio.sleep(self._random.uniform(0.1, 0.5))
         elif behaviour == "hang":
-            # The read returns when the node closes the connection.
+            # A server that hangs sends nothing and waits until the node closes the connection.
             await reader.read(1)
             return False
         with_length = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
@@ -209,7 +210,7 @@
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.fault = ""  # name of the proxy's active fault; empty without a fault
+        self.fault = ""  # fault that the proxy injects at present: `silent`, `refuse`, or empty for none
         self.port = 0
 
     async def start(self) -> None:
@@ -247,8 +248,10 @@
     def __init__(self) -> None:
         self.port = 0
         self.version = 10
-        self.is_down = False  # whether new watches wait for the endpoint list until the agent is up again
-        # monotonic time at which the agent's open watches became silent; None once a newer watch has its list
+        # whether the discovery agent is down: it sends no endpoint list on new watches until it is up again
+        self.is_down = False
+        # monotonic time, in seconds, at which the discovery agent stopped sending on its open watches;
+        # None if the agent has sent its endpoint list on a newer watch since
         self.silent_since: float | None = None
         self.changes: list[tuple[int, dict[str, Any]]] = []
         self._complete_list: list[dict[str, Any]] = []
@@ -268,7 +271,7 @@
 
     def _send_line(self, writer: asyncio.StreamWriter, document: dict[str, Any] | None) -> None:
         line = (json.dumps(document).encode() if document else b"") + b"\n"
-        # A write raises OSError or RuntimeError if the transport of the watch is closed already.
+        # A write to a discovery watch with a closed transport raises OSError or RuntimeError.
         with suppress(OSError, RuntimeError):
             writer.write(b"%x\r\n%s\r\n" % (len(line), line))
 
