--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -75,7 +75,7 @@
     ActionCode.HANG_UP: struct.Struct("<B6s"),
     # field of a LISTEN record after the action code: constant 1, which starts a watch of the endpoint list
     ActionCode.LISTEN: struct.Struct("<BB"),
-    # field of a SOURCE record after the action code: number of the module instance whose actions follow
+    # field of a SOURCE record: number of the decision module instance whose actions follow
     ActionCode.SOURCE: struct.Struct("<BH"),
 }
 # header of an output record with text: action code, number of bytes of the UTF-8 text that follows
