--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -17,16 +17,21 @@
 from moleport.units import NS_PER_MS, NS_PER_SECOND, NS_PER_US
 
 MS_PER_SECOND = 1000
-# The backoff after the n-th connect failure of an attempt by a local fault is BACKOFF_BASE_S * 2**n,
-# where n is at most MAX_BACKOFF_DOUBLINGS and the backoff at most MAX_BACKOFF_S.
+# After its n-th connect failure by a fault of this machine or its network, an attempt waits for
+# BACKOFF_BASE_S * 2**n before it connects again.
+# The exponent n is at most MAX_BACKOFF_DOUBLINGS, and the wait at most MAX_BACKOFF_S.
 BACKOFF_BASE_S = 0.0025
 MAX_BACKOFF_DOUBLINGS = 4
 MAX_BACKOFF_S = 0.04
-# After more than MAX_LOCAL_FAULT_COUNT local connect failures, a missing route ends an attempt as not sent.
+# An attempt that has had more than MAX_LOCAL_FAULT_COUNT connect failures by faults of this machine or its
+# network ends as not sent if the latest failure is a missing route.
 MAX_LOCAL_FAULT_COUNT = 8
-PERMISSION_POLL_INTERVAL_S = 0.002  # interval between calls of `authorize_write` that return WAIT
-MAX_TIMER_DELAY_NS = 5 * NS_PER_MS  # delay of a timer above which a hold of the process is assumed
-SOCKET_READ_DELAY_S = 0.001  # time in which the event loop reads each readable socket at least once
+# Interval at which a waiting attempt asks its owner again whether it may connect or write.
+PERMISSION_POLL_INTERVAL_S = 0.002
+# Delay of an attempt's expiry timer above which a hold of the process is assumed.
+MAX_TIMER_DELAY_NS = 5 * NS_PER_MS
+# Wait after an attempt's late expiry timer, in which each readable socket is read at least once.
+SOCKET_READ_DELAY_S = 0.001
 
 UNSENT_RESULTS = (AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED)
 """Results that claim that the last byte of the request was not written."""
@@ -36,16 +41,18 @@
     """The owner's decision on an attempt that is about to connect or to write."""
 
     GRANTED = "write"
-    WAIT = "wait"  # the attempt asks for permission again after PERMISSION_POLL_INTERVAL_S
-    DENIED = "stop"  # the attempt ends without sending the request
+    # The attempt asks its owner again after PERMISSION_POLL_INTERVAL_S whether it may connect or write.
+    WAIT = "wait"
+    DENIED = "stop"  # the attempt ends as not sent, without writing its request
 
 
 class AttemptState(Enum):
     """The progress of an attempt."""
 
-    WAITING = "waiting"  # the attempt has no connection, and waits for permission or for the end of a backoff
+    # The attempt has no connection, and waits for its owner's permission or for the end of a connect backoff.
+    WAITING = "waiting"
     CONNECTING = "connecting"  # the attempt is opening a connection to the server
-    CONNECTED = "connected"  # the attempt has a new connection, and has written nothing to it
+    CONNECTED = "connected"  # the attempt has a new connection to the server, and has written nothing to it
     IN_FLIGHT = "in flight"  # the attempt's request is written, or being written
     ENDED = "ended"  # a response, a fault, a timer or `Attempt.cancel` has ended the attempt
 
@@ -141,11 +148,11 @@
         self.index = index  # position of the attempt among those of its request, from 0
         self.endpoint_id = endpoint_id
         self.pool = pool
-        # Time of the attempt's start minus the sum of all earlier holds, plus the attempt's backoffs.
+        # Start (monotonic ns) of the attempt, minus all earlier holds, plus the attempt's connect backoffs.
         self.effective_start_ns = effective_start_ns
         self.expires_at_ns = expires_at_ns
         self.write_deadline_ns = write_deadline_ns
-        # Time of the request's write in monotonic ns, set by the owner; 0 before the write.
+        # Time (monotonic ns) at which the attempt's request was written, set by the owner; 0 before then.
         self.written_at_ns = 0
         self._head = head
         self._body = body
@@ -155,7 +162,8 @@
         self._connect_task: asyncio.Task[None] | None = None
         self._new_connection: ServerConnection | None = None
         self._permission_timer: asyncio.TimerHandle | None = None
-        self._local_fault_count = 0  # connect failures for which this machine or its network was at fault
+        # Number of the attempt's connect failures by a fault of this machine or its network.
+        self._local_fault_count = 0
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._write_deadline_timer: asyncio.TimerHandle | None = None
 
@@ -186,7 +194,7 @@
         if self._state is AttemptState.ENDED:
             return
         if result in UNSENT_RESULTS and self._is_written():
-            # An unsent result of a written request permits a retry, which could execute the request twice.
+            # A result of UNSENT_RESULTS would permit a retry, which could execute a written request twice.
             self._owner.on_written_ended_unsent(self, result)
             result = AttemptResult.CANCELLED
         self._set_state(AttemptState.ENDED)
@@ -234,7 +242,7 @@
         if connection is not None:
             self._write_request(connection)
         elif not self.pool.pools.ensure_capacity():
-            # The limit on sockets is reached, for which the server is not at fault.
+            # All sockets for connections to servers are in use, which is not a fault of the attempt's server.
             self.end(AttemptResult.NOT_SENT)
         else:
             self._set_state(AttemptState.CONNECTING)
@@ -258,7 +266,7 @@
         """Connect to the server, and write the request or handle the error."""
         connection = ServerConnection(self.pool)
         pools = self.pool.pools
-        # The socket is counted here until connecting ends; `ServerConnection` counts an open connection.
+        # A connecting socket is counted here; `ServerConnection` counts the socket of an open connection.
         pools.socket_count += 1
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *self.pool.address)
@@ -273,7 +281,7 @@
             pools.socket_count -= 1
         self._connect_task = None
         pools.on_connected()
-        # The attempt may end in the event loop iteration in which its connection is established.
+        # An attempt may end in the event loop iteration in which its connection is established.
         if self._state is AttemptState.ENDED:
             connection.close()
         elif connection.closed:
@@ -303,7 +311,7 @@
         self._set_state(AttemptState.WAITING)
         doublings = min(self._local_fault_count, MAX_BACKOFF_DOUBLINGS)
         backoff_s = min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2**doublings)
-        # The backoff is excluded from the elapsed time of the attempt that the policy receives.
+        # A connect backoff is excluded from the attempt's elapsed time that the policy receives.
         self.effective_start_ns += int(backoff_s * NS_PER_SECOND)
         self._permission_timer = asyncio.get_running_loop().call_later(backoff_s, self._acquire_connection)
 
@@ -319,7 +327,7 @@
 
     def _write_request(self, connection: ServerConnection) -> None:
         """Write the request with its remaining time as X-Deadline, or end the attempt if no time remains."""
-        if connection.closed:  # the server closed the connection while the attempt waited for permission
+        if connection.closed:  # the connection was closed while the attempt waited for permission to write
             self.end(AttemptResult.CONNECT_FAILED)
             return
         now = monotonic_ns()
@@ -328,12 +336,13 @@
         if remaining_ns <= 0 or is_write_overdue:
             self._owner.record_attempt_event(self, Event.ATTEMPT_STOPPED_AFTER_DEADLINE)
             self.pool.return_unused(connection)
-            # The server is not at fault for a missed write deadline, nor for a wait in this process.
+            # The server is not at fault if the attempt missed its write deadline, or waited for its owner's
+            # permission or for the end of a backoff.
             is_own_delay = is_write_overdue or self._permission_timer is not None
             self.end(AttemptResult.NOT_SENT if is_own_delay else AttemptResult.CONNECT_FAILED)
             return
-        # Nothing slow may run between reading the clock and writing the request: X-Deadline would then state
-        # more time than remains. A hold of the process between reading and writing has this effect too.
+        # Nothing slow may run between reading the clock and writing the request, or X-Deadline states more
+        # time than remains. A hold of the process between reading the clock and writing has the same effect.
         connection.send(
             self, b"%sX-Deadline: %du\r\n\r\n%s" % (self._head, remaining_ns // NS_PER_US, self._body)
         )
--- a/moleport/node/attempt_supervisor.py
+++ b/moleport/node/attempt_supervisor.py
@@ -46,7 +46,8 @@
         """Start the next attempt of a request, or report NOT_SENT at once if it may not be started."""
         request = self._active.get(action.request_id)
         if request is None:
-            # A removed request has no attempt count, so each possible attempt index is reported as not sent.
+            # A request that is no longer active has no attempt count, so each possible attempt index is
+            # reported to the policy as not sent.
             # The policy ignores the indices of attempts that have already ended.
             for index in range(self._max_attempts):
                 self._report_not_sent(action.request_id, True, action.endpoint_id, index)
@@ -102,7 +103,8 @@
             self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_REMOVED)
             return WritePermission.DENIED
         if self._hold_detector.may_have_unread_input():
-            # After a hold, an update about the server's drain may be unread and the drain grace be over.
+            # After a hold of the process, a discovery update about the server's drain may be unread, and the
+            # drain grace may be over.
             self.record_attempt_event(attempt, Event.ATTEMPT_DELAYED_AFTER_STALL)
             return WritePermission.WAIT
         if request.half_closed_at_ns or request.client_request.client.has_disconnected():
@@ -167,8 +169,8 @@
     ) -> None:
         """Send a response that is final to the client, and report the outcome to the policy."""
         request = self._active[attempt.request_number]
-        # A hold that is detected after the attempt's start is subtracted completely from the elapsed time,
-        # including the part of the hold before the start.
+        # A hold of the process that is detected after the attempt's start is subtracted completely from the
+        # attempt's elapsed time, including the part of the hold before the start.
         elapsed_ns = max(0, monotonic_ns() - self._hold_detector.total_hold_ns() - attempt.effective_start_ns)
         if result not in NOT_EXECUTED and not request.first_execution_ns:
             request.first_execution_ns = attempt.written_at_ns or monotonic_ns()
--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -35,7 +35,8 @@
 
 PAUSED_CHECK_SECONDS = 0.05
 MAX_WRITE_SECONDS = 10.0  # time limit for a client to read a response to a request without a deadline
-MAX_LINGERING_BYTES = 128 << 10  # limit of client data that is read and discarded after the last response
+# Limit in bytes on the client data that is read and discarded after a connection's last response.
+MAX_LINGERING_BYTES = 128 << 10
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -51,8 +52,10 @@
         self.dispatcher = dispatcher
         self.config = config
         self.table = table
-        self.is_stopping = False  # whether the shutdown has begun and readiness checks are answered with 503
-        self.is_draining = False  # whether each response closes its connection, as the node is shutting down
+        # Whether the node's shutdown has begun and readiness checks are answered with 503.
+        self.is_stopping = False
+        # Whether each response closes its client connection, as the node is shutting down.
+        self.is_draining = False
 
 
 class ClientConnection(asyncio.Protocol):
@@ -71,18 +74,21 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = RequestParser(context.config)
-        self._request_number = 0  # number of the request in progress, given by `RequestRegistry`; 0: none
-        self._is_busy = False  # whether a request is unanswered, or its response is not fully written
+        # Request number (an id from `RequestRegistry`) of the client's request in progress; 0: no request.
+        self._request_number = 0
+        # Whether a request of the client is unanswered, or its response is not fully written.
+        self._is_busy = False
         self._keep_alive = True
-        # Whether the last response was sent or the connection is lost; no more data of the client is parsed.
+        # Whether the last response was sent or the connection is lost: no more data of the client is parsed.
         self._is_closing = False
         self._is_half_closed = False  # whether the client has shut down its sending side
         self._discarded_bytes = 0
-        # Deadline (monotonic ns) of the last request passed to `_serve`; 0: no deadline.
+        # Deadline (monotonic ns) of the client's latest request that was passed to `_serve`; 0: no deadline.
         self._deadline_ns = 0
         # Timer that aborts the connection if the client does not read a response in time.
         self._write_timer: asyncio.TimerHandle | None = None
-        self._is_advancing = False  # whether `_advance` is running
+        # Whether a call of `_advance` is running, so that a nested call returns at once.
+        self._is_advancing = False
         self._is_paused = False
         self._paused_check_timer: asyncio.TimerHandle | None = None
 
@@ -90,7 +96,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection, and set the lower bound for the arrival of its unread data."""
-        # The transports of uvloop are not subclasses of asyncio.Transport.
+        # A cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
         self._transport = transport = cast(asyncio.Transport, transport)
         # With a write buffer limit of 0, the event loop calls `resume_writing` once the buffer is empty.
         transport.set_write_buffer_limits(high=0)
@@ -98,7 +104,7 @@
         if now - self._earliest_unread_arrival_ns < MIN_HOLD_NS or not self._is_readable():
             self._earliest_unread_arrival_ns = 0
         else:
-            # The earliest arrival in the accept queue may be much earlier than that of one client's data.
+            # The data of one client may have arrived much later than the earliest client in the accept queue.
             data_age_ns = last_data_age_ns(transport.get_extra_info("socket"))
             if data_age_ns is not None:
                 self._earliest_unread_arrival_ns = max(self._earliest_unread_arrival_ns, now - data_age_ns)
@@ -156,7 +162,7 @@
             self._write_timer = None
             self._on_response_written()
 
-    # Checks for a disconnection of the client that the event loop has not reported.
+    # Methods that detect a disconnection of the client that the event loop has not reported.
 
     def has_disconnected(self) -> bool:
         """Return whether the client has half-closed or closed the connection, as the kernel reports it."""
@@ -196,14 +202,15 @@
         """Process parsed requests, pause or resume reading, and report the state to the connection table."""
         transport = self._transport
         if transport is None or self._is_advancing:
-            return  # a running `_serve_ready` serves the next request after a response written at once
+            # A nested call of `_advance` returns, because the outer call processes the client's next request.
+            return
         self._is_advancing = True
         self._serve_ready(transport)
         self._is_advancing = False
         if self._is_closing or transport.is_closing():
             return
         parser = self._parser
-        # Reading is paused while received requests wait: further requests stay in the kernel's buffer.
+        # Reading from a client is paused while its requests wait: more stay in the kernel's receive buffer.
         if self._is_paused != bool(parser.ready or parser.has_unparsed()):
             self._toggle_reading(transport)
         if self._is_busy:
@@ -291,7 +298,8 @@
         self._request_number = 0
         if transport.is_closing():
             return
-        # A 4xx closes the connection: a client could repeat an invalid request as fast as the node answers.
+        # A 4xx response closes the client connection, because a client could otherwise repeat an invalid
+        # request as fast as the node answers.
         is_client_error = 400 <= status < 500
         keep_alive = (
             self._keep_alive
@@ -349,7 +357,7 @@
         transport.write_eof()
         self._table.start_lingering_close(self)
 
-    # Methods that close the connection on behalf of the connection table or the shutdown.
+    # Methods with which the connection table or the shutdown closes the client connection.
 
     def time_out(self) -> None:
         """Close a connection that has exceeded a time limit; answer 408 to a partial request."""
--- a/moleport/node/connection_pool.py
+++ b/moleport/node/connection_pool.py
@@ -11,8 +11,8 @@
     from moleport.node.connection_pools import ConnectionPools
     from moleport.node.server_connection import ServerConnection
 
-# An idle connection is not reused until it has been idle for MIN_REUSE_DELAY_NS, because a duplicate of the
-# last response may still arrive on the connection.
+# An idle connection to a server is not reused until it has been idle for MIN_REUSE_DELAY_NS, because a
+# duplicate of the last response may still arrive on the connection.
 MIN_REUSE_DELAY_NS = 5_000_000
 
 
@@ -34,11 +34,11 @@
         self.address = address
         self.started_at_ns = started_at_ns
         self.is_retired = False
-        self.retired_at_ns = 0  # time of the pool's retirement in monotonic ns; 0 before the retirement
-        # Idle connections, ordered by `idle_since_ns`: the most recently used connection is last.
+        self.retired_at_ns = 0  # time (monotonic ns) at which the connection pool was retired; 0 before then
+        # Idle connections to the server, ordered by `idle_since_ns`, the most recently used connection last.
         self.idle: list[ServerConnection] = []
-        # Attempts that have not begun to write, as an ordered set. Each attempt adds and removes itself.
-        # A `set` would use more memory than this `dict`.
+        # Attempts that have not begun to write their request to the server, as an ordered set. Each attempt
+        # adds and removes itself. A `set` would use more memory than a `dict`.
         self.unsent: dict[Attempt, None] = {}
 
     def acquire(self) -> ServerConnection | None:
--- a/moleport/node/connection_pools.py
+++ b/moleport/node/connection_pools.py
@@ -11,10 +11,11 @@
 from moleport.policy.interface import EndpointId
 from moleport.units import NS_PER_SECOND
 
-# Fraction of the server's idle timeout after which an idle connection to the server is not reused.
+# Fraction of a server's idle timeout after which an idle connection to the server is not reused.
 # A request that is written to a connection that the server has closed is lost.
 IDLE_TIMEOUT_FRACTION = 0.9
-# Number of server addresses without a route (or all, if there are fewer) at which the network is at fault.
+# Missing routes are a fault of the network, not of the servers, once MIN_UNREACHABLE_SERVERS server addresses
+# (or all, if there are fewer) have had no route.
 MIN_UNREACHABLE_SERVERS = 2
 
 
@@ -30,8 +31,8 @@
         self.socket_count = 0  # number of connections to servers that are open or connecting
         self.connect_timeout_ns = connect_timeout_ns
         self.max_idle_ns = int(idle_timeout_ns * IDLE_TIMEOUT_FRACTION)
-        # Pools that may have idle connections, as an ordered set.
-        # The next sweep removes a pool without idle connections from the set.
+        # Connection pools that may have idle connections, as an ordered set.
+        # The next sweep of idle connections removes a pool without idle connections from the set.
         self.pools_with_idle_connections: dict[ConnectionPool, None] = {}
         self._max_sockets = max_sockets
         self._pools: dict[EndpointId, ConnectionPool] = {}
--- a/moleport/node/connection_table.py
+++ b/moleport/node/connection_table.py
@@ -10,18 +10,22 @@
 from moleport.telemetry import Event, Telemetry
 
 SWEEP_PERIOD_SECONDS = 0.2
-SWEEP_RETRY_SECONDS = 0.02  # delay of a check of the time limits that is due just after a hold of the process
-MAX_NEW_SECONDS = 2.0  # time limit from a connection's setup to its first complete request
-MAX_READING_SECONDS = 2.0  # time limit for receiving a request after the first one of its connection
-MAX_IDLE_SECONDS = 2.5  # time limit of a connection between two requests
-MIN_IDLE_SECONDS = 0.5  # idle time before a connection may be closed to enforce MAX_IDLE_RATIO
-# Fraction of client slots above which the oldest idle connections are closed after MIN_IDLE_SECONDS.
+# Delay of a check of the client connections' time limits that is due just after a hold of the process.
+SWEEP_RETRY_SECONDS = 0.02
+MAX_NEW_SECONDS = 2.0  # time limit from a client connection's setup to its first complete request
+MAX_READING_SECONDS = 2.0  # time limit for receiving the second or a later request of a client connection
+MAX_IDLE_SECONDS = 2.5  # time limit of a client connection that is idle: no request is partial or unanswered
+MIN_IDLE_SECONDS = 0.5  # idle time before a client connection may be closed to enforce MAX_IDLE_RATIO
+# Fraction of all client slots that idle connections may use.
+# Above MAX_IDLE_RATIO, the connections that have been idle longest are closed, if idle for MIN_IDLE_SECONDS.
 MAX_IDLE_RATIO = 0.15
-# Time that a connection must have been new or idle before it may be closed to free its slot.
+# Time that a client connection must have been new or idle before it may be closed to free its client slot.
 MIN_RECLAIM_AGE_SECONDS = 0.1
-MAX_LINGERING_SECONDS = 1.0  # time limit of a lingering close
-MAX_LINGERING_RATIO = 0.1  # fraction of client slots above which the oldest lingering connection is aborted
-# Fraction of client slots: while new connections use more, no idle connection is closed to free its slot.
+MAX_LINGERING_SECONDS = 1.0  # time limit of a lingering close, in which client data is read and discarded
+# Fraction of all client slots that lingering connections may use, above which the oldest of them is aborted.
+MAX_LINGERING_RATIO = 0.1
+# While connections without a first complete request use more than IDLE_PROTECTION_RATIO of all client slots,
+# no idle connection is closed to free its slot.
 IDLE_PROTECTION_RATIO = 0.5
 
 
@@ -66,7 +70,7 @@
     ) -> None:
         """Create an empty table; `on_slot_freed` is called when a connection ends and leaves a free slot."""
         self.max_connections = max_connections
-        self.open_count = 0  # client slots in use, with those of connections that are still being set up
+        self.open_count = 0  # client slots in use, including those of connections that are still being set up
         self.connections: set[TrackedConnection] = set()
         self._telemetry = telemetry
         self._hold_detector = hold_detector
@@ -190,7 +194,7 @@
     def _sweep(self) -> None:
         """Close the connections that exceed the time limit of their state."""
         if self._hold_detector.may_have_unread_input():
-            # The event loop must read data that clients sent during a hold before it applies the time limits.
+            # The event loop must read data that clients sent during a hold before their time limits apply.
             self._loop.call_later(SWEEP_RETRY_SECONDS, self._sweep)
             return
         now = self._loop.time()
--- a/moleport/node/consistency_check.py
+++ b/moleport/node/consistency_check.py
@@ -17,7 +17,7 @@
 from moleport.units import NS_PER_MS
 
 CHECK_PERIOD_SECONDS = 1.0
-# Time after its deadline from which a request or an attempt that is still active is reported.
+# A request or an attempt that is still active MAX_OVERDUE_NS after its deadline is reported as overdue.
 MAX_OVERDUE_NS = 500 * NS_PER_MS
 
 
@@ -39,10 +39,10 @@
         self._policy_attempt_count = policy_attempt_count
         self._hold_detector = hold_detector
         self._telemetry = telemetry
-        # Requests and attempts that were overdue at the last check, and have been reported.
+        # Requests and attempts that were overdue at the last consistency check, and have been reported.
         # An entry is the request number and the attempt index, which is None for the request itself.
         self._reported_overdue: set[tuple[int, int | None]] = set()
-        # Attempts in flight by the policy's count minus those by the node's count, at the last check.
+        # The policy's count of attempts in flight minus the node's count, at the last consistency check.
         self._excess_count = 0
 
     def start(self) -> None:
@@ -52,7 +52,7 @@
     def _on_timer(self) -> None:
         """Schedule the next check, and check the state of the node now unless a hold has just ended."""
         self.start()
-        # Just after a hold, timers that end requests and attempts may be due but not have run yet.
+        # Just after a hold, overdue timers that end requests and attempts may not have run yet.
         if not self._hold_detector.may_have_unread_input():
             self.check()
 
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -22,17 +22,17 @@
 
 log = logging.getLogger(__name__)
 
-# The response timeouts limit the time from the opening of a watch to the headers of discovery's response.
-# A discovery agent on the same machine responds at once.
-# A discovery service that all nodes share queues their requests, so its timeout is longer.
+# AGENT_RESPONSE_TIMEOUT_S and SHARED_RESPONSE_TIMEOUT_S limit the time from the opening of a discovery watch
+# to the headers of discovery's response. A discovery agent on the same machine responds at once. A discovery
+# service that all nodes share queues their requests, so its timeout is longer.
 AGENT_RESPONSE_TIMEOUT_S = 0.5
 SHARED_RESPONSE_TIMEOUT_S = 2.5
 # Discovery sends an empty line as soon as a watch opens, and then at least every 2 s.
-# White space between two JSON objects, such as an empty line, counts as data.
-FIRST_DATA_TIMEOUT_S = 2.5  # limit on the time from the opening of a watch to the first data
-DATA_TIMEOUT_S = 3.0  # limit on the time between two receptions of data on a watch
+# White space between two JSON objects, such as an empty line, counts as data of the watch.
+FIRST_DATA_TIMEOUT_S = 2.5  # limit on the time from the opening of a discovery watch to its first data
+DATA_TIMEOUT_S = 3.0  # limit on the time between two receptions of data on a discovery watch
 MAX_UPDATE_BYTES = 4 << 20  # limit on the size of a discovery update; a longer update ends the watch
-# Number of entries of an update that are parsed in one event loop iteration, in about 1 ms.
+# Number of entries of a discovery update that are parsed in one event loop iteration, in about 1 ms.
 SLICE_ENTRY_COUNT = 512
 
 
@@ -130,12 +130,13 @@
         if watch is not self._watch:
             return
         try:
-            # An update is decoded in one call, because `json` has no incremental decoder; MAX_UPDATE_BYTES
-            # limits the time of this call. The entries of the update are parsed in slices later.
+            # A discovery update is decoded in one call, because `json` has no incremental decoder;
+            # MAX_UPDATE_BYTES limits the time of the call.
+            # The entries of the update are parsed in slices later.
             version, is_snapshot, entries = parse_update_header(json.loads(text))
-            # An update with an older version, even a snapshot, would revert newer changes.
-            # If discovery has restarted its version count, the next watch, which requests a snapshot,
-            # accepts the update.
+            # A discovery update with an older version than the current one, even a snapshot, would revert
+            # newer changes. If discovery has restarted its version count, the next watch, which requests a
+            # snapshot, accepts the update.
             if version < self._version:
                 raise EndpointListError(
                     f"update version {version} is older than the current version {self._version}"
@@ -178,7 +179,7 @@
     def _reject_update(self, watch: WatchConnection, error: Exception) -> None:
         """Discard an invalid update, and end its watch."""
         self._partial_update = None
-        # The changes in a rejected update are unknown, so the next watch requests a snapshot.
+        # The changes in a rejected discovery update are unknown, so the next watch requests a snapshot.
         self._version = 0
         self.on_watch_ended(watch, f"invalid endpoint list update: {error}")
 
@@ -239,7 +240,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the watch request, or abort the connection if the watch was closed while connecting."""
-        # The cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
+        # A cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
         self._transport = transport = cast(asyncio.Transport, transport)
         if self._owner.is_current(self):
             self._parser = httptools.HttpResponseParser(self)
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -25,9 +25,9 @@
 from moleport.policy.interface import DiscoveryMode, EndpointState, EndpointUpdateKind
 from moleport.telemetry import Event, Telemetry
 
-# Delay, in s, from an update that the policy failed on to sending the complete list to the policy.
+# Delay in s from a failure of the policy on an endpoint update to sending the complete list to the policy.
 RESYNC_DELAY_S = 1.0
-# Number of endpoints of a long update that the policy is notified of in one event loop iteration.
+# Number of endpoints of a long discovery update that the policy is notified of in one event loop iteration.
 SLICE_ENDPOINT_COUNT = 256
 
 
@@ -50,10 +50,9 @@
         self._telemetry = telemetry
         self._dispatch_event = dispatch_event
         self._loop = asyncio.get_running_loop()
-        self._known: dict[str, DiscoveredEndpoint] = {}  # endpoints that the policy knows, by id
-        self._pending_endpoints: dict[
-            str, DiscoveredEndpoint
-        ] = {}  # changed endpoints still to be applied, by id
+        self._known: dict[str, DiscoveredEndpoint] = {}  # endpoints that the policy knows, by endpoint id
+        # Changed endpoints that are not yet applied to the policy and the connection pools, by endpoint id.
+        self._pending_endpoints: dict[str, DiscoveredEndpoint] = {}
         self._next_slice: asyncio.Handle | None = None
         self._resync_timer: asyncio.TimerHandle | None = None
         self._start_times = ServerStartTimes()
@@ -87,7 +86,7 @@
         with suppress(TimeoutError):
             await asyncio.wait_for(self._is_synced.wait(), discovery_watch.FIRST_DATA_TIMEOUT_S)
 
-    # Callbacks that the discovery client calls with updates and with the end of a watch.
+    # Callbacks that the discovery client calls with endpoint updates and with the end of a watch.
 
     def on_update(self, update: DiscoveryUpdate) -> None:
         """Apply an update from discovery, at once or in slices."""
@@ -107,13 +106,13 @@
             self._loop.call_later(self._backoff.next_delay_seconds(), self.discovery.open_watch)
             return
         if self._pending_endpoints:
-            # All pending endpoints are applied before the end of the watch is reported: the policy would
-            # interpret an update after the report as a sign that a watch is open.
+            # All pending endpoints are applied before the end of the watch is reported to the policy, which
+            # would interpret an endpoint update after the report as a sign that a watch is open.
             self._apply_entries(EndpointUpdateKind.DELTA, list(self._pending_endpoints.values()))
             self._pending_endpoints.clear()
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.FAILED, ()))
 
-    # Methods that apply updates to the endpoint list, the policy and the connection pools.
+    # Methods that apply endpoint updates to the endpoint list, the policy and the connection pools.
 
     def schedule_resync(self) -> None:
         """Schedule a resync of the policy after `RESYNC_DELAY_S`, because it has failed on an update."""
@@ -124,7 +123,8 @@
         """Send all known endpoints to the policy."""
         self._resync_timer = None
         endpoints = tuple(self._to_policy_endpoint(endpoint) for endpoint in self._known.values())
-        # The known endpoints are not sent as a snapshot, which would mean that discovery has just sent them.
+        # The known endpoints are sent to the policy as a cached list.
+        # A snapshot would mean that discovery has just sent them.
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
 
     def _apply_update(self, kind: EndpointUpdateKind, endpoints: tuple[DiscoveredEndpoint, ...]) -> None:
@@ -140,7 +140,7 @@
         elif self._pending_endpoints:
             for entry_id in latest:
                 self._pending_endpoints.pop(entry_id, None)
-        # The cached list is applied before requests are accepted, so it is not divided into slices.
+        # The cached endpoint list is applied before requests are accepted, so it is not divided into slices.
         if len(latest) <= SLICE_ENDPOINT_COUNT or kind is EndpointUpdateKind.CACHED:
             self._apply_entries(kind, list(latest.values()), absent)
         else:
@@ -163,7 +163,8 @@
         are applied in slices.
         """
         changed = [endpoint for endpoint in latest.values() if self._known.get(endpoint.id) != endpoint]
-        # Known endpoints are applied before new ones: they are in use, and a restarted one is in slow start.
+        # Changes of known endpoints are applied before new endpoints, because known endpoints are in use, and
+        # a restarted one is in slow start.
         changed.sort(key=lambda endpoint: endpoint.id not in self._known)
         leaving = [endpoint for endpoint in changed if endpoint.state is not EndpointState.READY]
         self._pending_endpoints.update(
@@ -176,7 +177,7 @@
     def _apply_next_slice(self) -> None:
         """Apply a slice of the pending entries, and schedule the next one in another loop iteration."""
         entry_ids = list(islice(self._pending_endpoints, SLICE_ENDPOINT_COUNT))
-        # A later update may have replaced all endpoints that were pending when this slice was scheduled.
+        # A later update may have replaced all endpoints that were pending when the slice was scheduled.
         if entry_ids:
             self._apply_entries(
                 EndpointUpdateKind.DELTA, [self._pending_endpoints.pop(entry_id) for entry_id in entry_ids]
@@ -213,12 +214,13 @@
                 )
             else:
                 retired_ids.append(endpoint_of_policy.id)
-        # The policy is notified before pools are retired, because retiring a pool ends attempts that the
-        # policy may retry at once.
+        # The policy is notified of retired endpoints before their connection pools are retired, because
+        # retiring a pool ends attempts that the policy may retry at once.
         self._dispatch_event(api.EndpointUpdate(kind, endpoints))
         for endpoint_id in retired_ids:
             self._pools.retire_endpoint(endpoint_id)
-        # The start times of new servers that are still pending must be kept; `_known` lacks these servers.
+        # While endpoints are pending, no start time is forgotten: `_known` lacks new servers that are still
+        # pending, but their start times must be kept.
         if not self._pending_endpoints:
             self._start_times.forget_removed(self._known)
 
--- a/moleport/node/error_codes.py
+++ b/moleport/node/error_codes.py
@@ -15,7 +15,7 @@
 
     DESCRIPTORS = "descriptors"  # no free file descriptor: close an idle connection and retry the same peer
     MACHINE = "machine"  # transient fault of this machine: retry the same peer, which is not at fault
-    PATH = "path"  # no route to the peer: the peer is at fault, unless others are unreachable too
+    PATH = "path"  # no route to the peer: the peer is at fault, unless other peers are unreachable too
     PEER = "peer"  # fault of the peer: use another peer
 
 
--- a/moleport/node/graceful_shutdown.py
+++ b/moleport/node/graceful_shutdown.py
@@ -18,9 +18,9 @@
 from moleport.node.listener import ACCEPT_BATCH_CONNECTIONS, BACKLOG_CONNECTIONS, Listener
 from moleport.units import NS_PER_SECOND
 
-MIN_LAME_DUCK_SECONDS = 0.6  # new connections continue to arrive for up to 0.4 s after SIGTERM
+MIN_LAME_DUCK_SECONDS = 0.6  # new client connections continue to arrive for up to 0.4 s after SIGTERM
 MAX_DEADLINE_SECONDS = 3.0  # longest request deadline that the platform waits for before it sends SIGKILL
-KILL_DELAY_SECONDS = 0.7  # minimum time from the end of the longest request deadline to SIGKILL
+KILL_DELAY_SECONDS = 0.7  # minimum time between the expiry of the longest request deadline and SIGKILL
 KILL_MARGIN_SECONDS = 0.3  # safety margin between the 504 for unanswered requests and SIGKILL
 DRAIN_CHECK_PERIOD_SECONDS = 0.02
 
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -17,11 +17,14 @@
 from moleport.telemetry import Event, Telemetry
 from moleport.units import NS_PER_MS, NS_PER_SECOND
 
-# Period of the heartbeat, and the delay of a heartbeat above which the delay is added to the sum of holds.
+# Period of the heartbeat, the timer that detects holds of the event loop.
+# A heartbeat that is late by more than HEARTBEAT_PERIOD_NS adds its delay to the sum of holds.
 HEARTBEAT_PERIOD_NS = 20 * NS_PER_MS
-# Delay of a heartbeat from which a hold is reported; delays in an event loop that is only busy are shorter.
+# Delay of the event loop's heartbeat timer from which on a hold is reported.
+# The delays in an event loop that is only busy are shorter.
 MIN_HOLD_NS = 100 * NS_PER_MS
-SETTLE_DELAY_S = 0.001  # time in which the event loop reads its sockets once after a delayed heartbeat
+# Wait after a late heartbeat timer, in which the event loop reads all readable sockets once.
+SETTLE_DELAY_S = 0.001
 
 
 class HoldDetector:
@@ -31,9 +34,9 @@
         """Create a detector of holds of the running event loop; `start` begins the detection."""
         self._telemetry = telemetry
         self._loop = asyncio.get_running_loop()
-        self._ended_holds_ns = 0  # sum of the lengths of all holds that have ended
+        self._ended_holds_ns = 0  # sum of the lengths, in ns, of all holds of the event loop that have ended
         self._last_heartbeat_ns = monotonic_ns()
-        # Start, in monotonic ns, of the earliest hold whose data may still be unread; None if there is none.
+        # Start (monotonic ns) of the earliest hold after which data may still be unread; None: no such hold.
         self._hold_began_ns: int | None = None
 
     def start(self) -> None:
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -15,9 +15,9 @@
 from moleport.policy.interface import Idempotency
 from moleport.units import NS_PER_MS
 
-# Time after a client's disconnect is detected in which its request may still be written to a server.
+# Time after a client's disconnect is detected in which the client's request may still be written to a server.
 MAX_DISCONNECT_LATENCY_NS = 100 * NS_PER_MS
-# Time by which the timeout stated to a server may exceed the time left until the client's deadline.
+# Time by which the timeout stated in X-Deadline to a server may exceed the time until the client's deadline.
 DEADLINE_TOLERANCE_NS = 150 * NS_PER_MS
 
 
@@ -44,7 +44,7 @@
     attempt_index: int  # position of the attempt among those of its request, from 0
     max_attempts: int
     other_attempt_count: int  # number of other attempts of the request that have not ended
-    is_answered: bool  # whether the final response has been sent to the client
+    is_answered: bool  # whether the final response to the request has been sent to the client
     # Time since the first attempt of the request that may have been executed; None without such an attempt.
     since_execution_ns: int | None
     # Time since the node detected the client's disconnect; None if the client is connected.
@@ -53,7 +53,7 @@
     since_endpoint_removal_ns: int | None
     drain_grace_ns: int  # time after a server's drain or removal in which requests may still be written
     timeout_ns: int  # remaining time that the request states to the server in X-Deadline
-    remaining_ns: int  # time until the client's deadline
+    remaining_ns: int  # remaining time until the deadline of the client's request
 
 
 def violated_invariants(write: RequestWrite) -> Iterator[Invariant]:
--- a/moleport/node/json_stream.py
+++ b/moleport/node/json_stream.py
@@ -20,8 +20,9 @@
     def __init__(self) -> None:
         """Create a splitter for the beginning of a stream."""
         self._buffer = b""
-        self._scanned_bytes = 0  # number of bytes at the start of the buffer that are already scanned
-        self._depth = 0  # number of open braces at the end of the scanned bytes
+        # Number of bytes at the start of the buffer that are already scanned for braces.
+        self._scanned_bytes = 0
+        self._depth = 0  # number of braces that are open at the end of the scanned part of the buffer
 
     def feed(self, data: bytes) -> list[bytes]:
         """Add `data` to the buffer and return the JSON objects that are then complete, in order.
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -19,10 +19,12 @@
 log = logging.getLogger(__name__)
 
 BACKLOG_CONNECTIONS = 1024
-# Connections accepted per event loop iteration: a burst of connections must not delay other work for long.
+# Maximum number of accepted clients per event loop iteration: a burst must not delay other work for long.
 ACCEPT_BATCH_CONNECTIONS = 16
-FULL_TABLE_RETRY_SECONDS = 0.02  # delay before accepting connections again while no slot can be freed
-ACCEPT_BACKOFF_SECONDS = 0.002  # pause after the first failure of accept; doubles with each failure in a row
+# Delay before client connections are accepted again, while all client slots are in use and none can be freed.
+FULL_TABLE_RETRY_SECONDS = 0.02
+# Pause after the first failure of accept(2); the pause doubles with each failure in a row.
+ACCEPT_BACKOFF_SECONDS = 0.002
 MAX_ACCEPT_BACKOFF_SECONDS = 0.05
 MAX_ACCEPT_BACKOFF_DOUBLINGS = 5
 
@@ -47,7 +49,7 @@
         self._socket: socket.socket | None = None
         self._is_accepting = False
         self._is_retry_scheduled = False
-        # Lower bound (monotonic ns) of the connect times of clients in the accept queue; 0: queue empty.
+        # Lower bound (monotonic ns) of the connect times of clients in the accept queue; 0: empty queue.
         self._earliest_queued_arrival_ns = 0
         self._consecutive_accept_failures = 0
         self._setup_tasks: set[asyncio.Task[None]] = set()
@@ -122,7 +124,7 @@
         """
         self._telemetry.count(Event.ACCEPT_FAILED, errno=error.errno)
         if classify_error(error) is Fault.DESCRIPTORS or error.errno in (errno.ENOBUFS, errno.ENOMEM):
-            # Without a freed descriptor, queued clients would wait until a connected client disconnects.
+            # Without a freed file descriptor, queued clients would wait until a connected client disconnects.
             self.table.reclaim_slot(len(self._setup_tasks))
         self._pause_accepting()
         doublings = min(self._consecutive_accept_failures, MAX_ACCEPT_BACKOFF_DOUBLINGS)
--- a/moleport/node/node_factory.py
+++ b/moleport/node/node_factory.py
@@ -7,7 +7,7 @@
 from moleport.node.dispatcher import Dispatcher
 from moleport.node.listener import Listener
 
-# File descriptors reserved for interpreter, event loop, listening socket and discovery, with a margin.
+# File descriptors reserved for the interpreter, event loop, listening socket and discovery, with a margin.
 RESERVED_DESCRIPTORS_COUNT = 40
 # Fraction of the unreserved file descriptors for clients; the others are for connections to servers.
 CLIENT_DESCRIPTORS_RATIO = 0.55
--- a/moleport/node/parsed_request.py
+++ b/moleport/node/parsed_request.py
@@ -30,8 +30,9 @@
         self.target = self.path = self.method = b""
         self.forwarded_headers: list[bytes] = []  # header lines that are forwarded to a server
         self.header_values: dict[bytes, bytes] = {}  # last value of each request header, by lower-case name
-        self.header_bytes = 0  # size of the request target, header lines and trailers
-        self.size_bytes = 0  # received size of the request head, then of the body with its framing
+        self.header_bytes = 0  # size in bytes of the request target, header lines and trailers
+        # Bytes received of the request head, or of the body with its chunk framing after the head.
+        self.size_bytes = 0
         self.body = bytearray()
         self.keep_alive = True
         self.expects_continue = False
--- a/moleport/node/policy_timers.py
+++ b/moleport/node/policy_timers.py
@@ -22,7 +22,8 @@
 
     def set(self, at_ns: int, timer_id: int) -> None:
         """Schedule a timer of the policy for `at_ns` (monotonic ns)."""
-        # The delay is rounded up: event loop timers have a resolution of 1 ms and may fire early by less.
+        # The delay of a policy timer is rounded up, because timers of the event loop have a resolution of
+        # 1 ms and may fire early by less than 1 ms.
         delay_ms = max(0, at_ns - monotonic_ns()) // NS_PER_MS + 1
         self._loop.call_later(delay_ms / 1000, self._on_timer, at_ns, timer_id)
 
--- a/moleport/node/reconnect_backoff.py
+++ b/moleport/node/reconnect_backoff.py
@@ -6,13 +6,14 @@
 
 from moleport.units import NS_PER_SECOND
 
-MIN_DELAY_SECONDS = 0.03  # delay after the first failed watch, before jitter
+MIN_DELAY_SECONDS = 0.03  # delay, before jitter, from the first failed discovery watch to the next watch
 MAX_DOUBLINGS = 5
-# The delay until the next watch is limited to MAX_DRAIN_GRACE_FRACTION of the drain grace, because a drain
-# grace begins when discovery receives an update, even if the node has no watch open. The limit is at least
-# MIN_DELAY_SECONDS.
+# The delay until the next discovery watch is limited to MAX_DRAIN_GRACE_FRACTION of the drain grace, because
+# a drain grace begins when discovery receives an update, even if the node has no watch open.
+# The limit is at least MIN_DELAY_SECONDS.
 MAX_DRAIN_GRACE_FRACTION = 0.5
-MIN_JITTER_FACTOR = 0.5  # each delay is multiplied by a random factor from MIN_JITTER_FACTOR to 1
+# Each delay until the next discovery watch is multiplied by a random factor from MIN_JITTER_FACTOR to 1.
+MIN_JITTER_FACTOR = 0.5
 
 
 class ReconnectBackoff:
@@ -25,7 +26,7 @@
         """
         self._random = Random(seed)
         self._drain_grace_ns = drain_grace_ns
-        self.failure_count = 0  # number of failed watches since the last reset
+        self.failure_count = 0  # number of failed discovery watches since the last reset of the backoff
 
     def reset(self) -> None:
         """Return to the shortest delay, because an update has arrived from discovery."""
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -58,7 +58,7 @@
     body: bytes
     class_index: int
     tenant_index: int
-    key: int  # hash of the X-Key header; 0: no key
+    key: int  # hash of the request's X-Key header; 0: no key
     is_client_retry: bool
     deadline_ns: int  # time until which the client waits for the response, in monotonic ns
 
@@ -75,8 +75,9 @@
     half_closed_at_ns: int = 0
     # Time (monotonic ns) of the write of the first attempt that a server may have executed; 0: none yet.
     first_execution_ns: int = 0
-    attempt_count: int = 0  # attempts of the request so far, including those that could not be started
-    # Attempts of the request that are in flight, by attempt index.
+    # Number of attempts of the request so far, including those that could not be started.
+    attempt_count: int = 0
+    # Attempts of the request that have not ended, by attempt index.
     attempts: dict[int, Attempt] = field(default_factory=dict)
 
 
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -19,7 +19,8 @@
 
 MAX_HEADERS_COUNT = 100
 MAX_FRAMED_BODY_BYTES = 8 * MAX_BODY_BYTES  # size limit of a request body including its chunk framing
-PARSE_SLICE_BYTES = 4096  # data parsed at a time: with small slices few pipelined requests are parsed ahead
+# Number of bytes of client data parsed at a time: with small slices few pipelined requests are parsed ahead.
+PARSE_SLICE_BYTES = 4096
 
 NOT_FORWARDED = HOP_BY_HOP_HEADERS | {b"x-deadline", b"expect"}
 UNREPEATABLE_HEADERS = frozenset(
@@ -50,7 +51,7 @@
         self._config = config
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._buffer = b""
-        self._arrived_at_ns = 0  # lower bound (monotonic ns) of the arrival time of the data to be parsed
+        self._arrived_at_ns = 0  # lower bound (monotonic ns) of the arrival time of client data to be parsed
         self._partial: ParsedRequest | None = None
         self._in_body = False
 
@@ -138,14 +139,14 @@
         """Add a header; raise InvalidRequestError if it must not be repeated or the head is too large."""
         partial = self._partial
         assert partial is not None
-        # The size of the head is also checked here: `_check_size` omits the data slice that completes a head.
+        # The size of a request head is also checked here: `_check_size` omits a data slice that completes it.
         partial.header_bytes += len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
         if partial.header_bytes > MAX_HEAD_BYTES:
             raise InvalidRequestError(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"request head exceeds {MAX_HEAD_BYTES} bytes"
             )
         if self._in_body:
-            return  # a trailer counts towards the size limit of the head, but is not forwarded
+            return  # a trailer counts towards the size limit of the request head, but is not forwarded
         lower_name, value = name.lower(), value.strip()
         if lower_name in UNREPEATABLE_HEADERS and lower_name in partial.header_values:
             raise InvalidRequestError(HTTPStatus.BAD_REQUEST, f"request header {name!r} is repeated")
--- a/moleport/node/request_validation.py
+++ b/moleport/node/request_validation.py
@@ -70,7 +70,7 @@
             HTTPStatus.BAD_REQUEST, f"invalid X-Request-Id {header_values.get(b'x-request-id')!r}"
         )
     idempotency = config.policy_settings.classes[class_index].idempotency
-    # Servers infer the idempotency of a request from its method, so the method must match the class.
+    # Servers infer the idempotency of a request from its method, so the method must match the request class.
     if (request.method == b"GET") is not (idempotency is Idempotency.IDEMPOTENT):
         raise InvalidRequestError(
             HTTPStatus.BAD_REQUEST,
@@ -81,8 +81,8 @@
     request.class_index = class_index
     request.timeout_ns = config.max_deadlines_ns[class_index]
     if b"x-deadline" in header_values:
-        # The deadline is capped: no client waits longer than the maximum deadline of its request class, and a
-        # request uses memory until its deadline.
+        # The deadline of a request is capped, because no client waits longer than the maximum deadline of its
+        # request class, and a request uses memory until its deadline.
         request.timeout_ns = min(request.timeout_ns, parse_deadline_ns(header_values[b"x-deadline"]))
 
 
--- a/moleport/node/response_parser.py
+++ b/moleport/node/response_parser.py
@@ -14,7 +14,7 @@
     MAX_HEAD_BYTES,
 )
 
-MAX_INTERIM_COUNT = 16  # limit on interim (1xx) responses to one request
+MAX_INTERIM_COUNT = 16  # limit on the number of interim (1xx) responses to one request
 MIN_FINAL_STATUS = HTTPStatus.OK.value  # statuses below MIN_FINAL_STATUS are those of interim responses
 STATUSES_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 
@@ -27,7 +27,7 @@
     """A complete response of a server."""
 
     status: int
-    headers: list[tuple[bytes, bytes]]  # end-to-end headers, in the server's order and case
+    headers: list[tuple[bytes, bytes]]  # end-to-end headers of the response, in the server's order and case
     body: bytes
     load_report: bytes  # value of the response's X-Load header; empty without this header
 
@@ -60,7 +60,8 @@
         """Prepare for the first response on the connection."""
         self._http_parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._interim_count = 0
-        self.is_reusable = False  # whether the connection may carry another request after the response
+        # Whether the connection to the server may carry another request after the response.
+        self.is_reusable = False
         self.reset()
 
     def reset(self) -> None:
@@ -74,7 +75,7 @@
         self.status = 0
         # Bytes received of the response head, or of the response body after `on_headers_complete`.
         self._received_bytes = 0
-        self._header_bytes = 0  # bytes received of the reason phrase, headers and trailers
+        self._header_bytes = 0  # bytes received of the response's reason phrase, headers and trailers
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._load_report = b""
@@ -142,8 +143,8 @@
 
         A trailer adds to the size of the response head and is discarded.
         """
-        # The limit in `feed` covers neither a response head that arrives in one piece nor trailers,
-        # so the bytes of each header are counted here too.
+        # The size limit that `feed` checks covers neither a response head that arrives in one piece nor
+        # trailers, so the bytes of each header are counted here too.
         self._header_bytes += len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
         if self._header_bytes > MAX_HEAD_BYTES:
             self._check_head_size()
--- a/moleport/node/server_connection.py
+++ b/moleport/node/server_connection.py
@@ -34,17 +34,18 @@
         self._transport: asyncio.Transport | None = None
         self._poller = select.poll()
         self._parser: ResponseParser | None = None  # parser of the server's responses; None unless connected
-        self._attempt: Attempt | None = None  # attempt of the request in flight, if any
-        self.written = False  # whether the kernel has accepted the last byte of the latest request
+        self._attempt: Attempt | None = None  # attempt whose request is in flight on the connection, if any
+        # Whether the kernel has accepted the last byte of the connection's latest request.
+        self.written = False
         self.closed = False
-        # Time at which the connection last became idle, in monotonic ns; 0 before the first time.
+        # Time (monotonic ns) at which the connection to the server last became idle; 0 before the first time.
         self.idle_since_ns = 0
 
     # Methods of `asyncio.Protocol`, which the event loop calls for the connection to a server.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set up the socket and the parser of a new connection."""
-        # The cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
+        # A cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
         self._transport = transport = cast(asyncio.Transport, transport)
         self._pool.pools.socket_count += 1
         self._parser = ResponseParser()
--- a/moleport/node/server_start_times.py
+++ b/moleport/node/server_start_times.py
@@ -24,16 +24,16 @@
 from moleport.policy.interface import EndpointState
 from moleport.units import NS_PER_MS
 
-# Number of recorded starts, beyond twice the listed servers, above which `forget_removed` drops some.
-# The starts of removed servers are kept because a removed server may return.
+# Number of recorded server starts, beyond twice the number of listed servers, above which `forget_removed`
+# drops some. The starts of removed servers are kept because a removed server may return.
 FORGET_THRESHOLD_SERVERS = 1024
 
 
 class RecordedStart(NamedTuple):
     """The latest start of one server, as a Unix time and on the node's monotonic clock."""
 
-    reported_ms: int  # Unix time of the start in the endpoint list, in ms
-    started_at_ns: int  # time of the start on the node's monotonic clock, in ns
+    reported_ms: int  # Unix time of the server's start according to the endpoint list, in ms
+    started_at_ns: int  # time of the server's start on the node's monotonic clock, in ns
 
 
 class ServerStartTimes:
