--- a/moleport/node/attempt_supervisor.py
+++ b/moleport/node/attempt_supervisor.py
@@ -167,7 +167,7 @@
     def on_attempt_ended(
         self, attempt: Attempt, result: AttemptResult, response: ServerResponse | None
     ) -> None:
-        """Send a response that is final to the client, and report the outcome to the policy."""
+        """Forward a final response to the client, and report the outcome of the attempt to the policy."""
         request = self._active[attempt.request_number]
         # A hold of the process that is detected after the attempt's start is subtracted completely from the
         # attempt's elapsed time, including the part of the hold before the start.
