--- a/moleport/policy/actions.py
+++ b/moleport/policy/actions.py
@@ -26,7 +26,7 @@
     """A queue of tasks, ordered by due time and, for equal times, by the order of deferral."""
 
     def __init__(self) -> None:
-        # heap of (due time in ns, sequence number, task)
+        # heap of the deferred tasks: (due time in ns, sequence number, task)
         self._heap: list[tuple[int, int, Task]] = []
         self._sequence_number = 0
 
--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -39,23 +39,27 @@
 from moleport.policy.slow_start import SlowStart
 from moleport.policy.state import ActiveRequest, AttemptRecord, EndpointStatus
 
-# threshold of a request class without samples, in attempts in flight per endpoint
+# circuit breaker threshold of a request class without sampled response times, in attempts in flight per
+# endpoint
 INITIAL_IN_FLIGHT_REQUESTS = 10.0
-# attempts in flight of one request class, per endpoint, that are admitted regardless of the cap of the class
+# number of attempts of a request class in flight, per endpoint, up to which requests of the class are
+# admitted regardless of the cap of the class
 MIN_IN_FLIGHT_REQUESTS = 0.3
 HIGHER_PRIORITY_MULTIPLE = 1.2
 MUCH_HIGHER_PRIORITY_MULTIPLE = 2.0
 RESERVED_RATIO = 0.8
-# fraction of the cap that applies to a client's retry, which comes after a part of the latency objective
+# Fraction of the cap on attempts in flight that applies to a request which its client marks as a retry.
+# A client's retry arrives after a part of the latency objective has passed.
 CLIENT_RETRY_RATIO = 0.5
-# fraction of the cap that applies to a request over the quota of its tenant
+# fraction of the cap on attempts in flight that applies to a request over the quota of its tenant
 OVER_QUOTA_RATIO = 0.5
 LOSS_FACTOR_MULTIPLE = 2.0
-# multiple of the elapsed time that is sampled for a time-out, or of the latency objective for a rejection
+# A failed attempt is sampled with a response time that is this multiple of the elapsed time after a
+# time-out, and this multiple of the latency objective after a rejection.
 FAILED_SAMPLE_FACTOR = 2.0
 RESPONSE_TIME_EWMA_WEIGHT = 0.05
-# Endpoints with response times from this multiple of the typical ones on are not sampled.
-# Such a slow endpoint is no evidence of the load of the fleet.
+# Response times of an endpoint are sampled while their mean is below this multiple of the typical one.
+# One slow endpoint is no evidence of the load of the fleet.
 MAX_SAMPLED_WAITING_RATIO = 2.0
 
 
@@ -185,7 +189,7 @@
         initial_threshold = self.initial_threshold()
         thresholds = [breaker.threshold(initial_threshold) for breaker in self.breakers]
         priorities = [self.priority(index) for index in range(len(thresholds))]
-        # Request classes are sorted by descending priority, for running minima of their thresholds.
+        # Caps follow from running minima of the thresholds of the request classes by descending priority.
         # Comparing all pairs of request classes would be too slow.
         by_priority = sorted(range(len(priorities)), key=priorities.__getitem__, reverse=True)
         lowest_thresholds = list(accumulate((thresholds[index] for index in by_priority), min))
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -43,7 +43,7 @@
 from moleport.policy.state import ActiveRequest, AttemptRecord, EndpointStatus
 from moleport.policy.timing import WINDOW_NS, jittered_ns
 
-# shortest time limit of an attempt in ns, as 0 in `Forward` means no time limit
+# shortest time limit of an attempt in ns, as a time limit of 0 in the action `Forward` means no limit
 MIN_TIMEOUT_NS = 1
 
 
@@ -104,7 +104,7 @@
         self._actions.pending = []
         if isinstance(event, api.ClientDisconnected):
             # The request of a client that has disconnected is closed before deferred tasks run.
-            # Deferred tasks send final answers to open requests.
+            # Deferred tasks would send a final answer to a request that is still open.
             self._mark_closed(event)
         self._deferred.run_due(now_ns)
         if isinstance(event, api.Request):
@@ -150,7 +150,7 @@
         self._key_ordering.cool_down(now_ns, active, outcome.result)
         is_conclusive = self._record_evidence(now_ns, active, attempt, outcome)
         class_index = active.request.class_index
-        # Admission reads ejected_until_ns, and so runs before outlier detection, which changes that time.
+        # Admission control has to read the ejection time of an endpoint before outlier detection changes it.
         self._admission.on_attempt_ended(now_ns, class_index, attempt, outcome.elapsed_ns)
         recorded_result = outcome.result if is_conclusive else AttemptResult.CANCELLED
         self._record_result(now_ns, attempt.status, recorded_result, class_index)
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -32,23 +32,28 @@
 
 # weight of the previous value in exponentially weighted means of response times
 SMOOTHING_FACTOR = 0.5
-# This quantile of the response times is compared with the target.
+# This quantile of the response times of a request class is compared with their target.
 # The longest response times are due to the requests themselves, not to load.
 TAIL_QUANTILE = 0.85
-# lowest target for the response times, as a fraction of the latency objective
+# lowest target for the response times of a request class, as a fraction of its latency objective
 TARGET_RATIO = 0.7
-# lowest target for the response times, as a multiple of the tail of the response times without load
+# Lowest target for response times, as a multiple of the tail (TAIL_QUANTILE) of response times without load.
 # A target below the response times without load would be missed at any threshold.
 HEADROOM_FACTOR = 1.5
-# weight of the newest tail of the response times in the tail without load, if the newest one is lower
+# weight of the latest tail (TAIL_QUANTILE) of response times in the smoothed tail without load, if the
+# latest tail is lower than the smoothed one
 UNLOADED_FALL_RATIO = 0.2
-# weight of the newest tail of the response times in the tail without load, if the newest one is higher
+# weight of the latest tail (TAIL_QUANTILE) of response times in the smoothed tail without load, if the
+# latest tail is higher than the smoothed one
 UNLOADED_RISE_RATIO = 0.01
-# lowest threshold, as a fraction of the highest number of attempts in flight that recently met the target
+# lowest threshold of a circuit breaker, as a fraction of the highest number of attempts in flight for
+# which response times recently met their target
 PROVEN_RATIO = 0.5
-# factor per window by which the highest number of attempts in flight that met the target decays
+# decay factor, per measurement window, of the highest number of attempts in flight for which response
+# times met their target
 PROVEN_DECAY_FACTOR = 0.99
-# excess of attempts in flight over the cap in a burst, in standard deviations of a Poisson distribution
+# how far a burst may exceed a cap on attempts in flight, in standard deviations of a Poisson distribution
+# with the cap as its mean
 BURST_MULTIPLE = 2.0
 MIN_TAIL_NS = 1.0
 
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -27,13 +27,14 @@
 from moleport.policy.interface import AttemptResult
 from moleport.policy.state import AttemptRecord, EndpointStatus
 
-# idle time up to which a connection counts as fresh, like a new one
+# longest idle time of a connection that counts as fresh; a new connection is fresh too
 MAX_FRESH_IDLE_NS = 250_000_000
 LOSS_EWMA_WEIGHT = 0.2
-# weight of a time-out in the idle loss rate
+# Weight of a time-out in the idle loss rate, the fraction of attempts lost on idle connections.
 # A time-out is weaker evidence of a dropped connection than a reset.
 IDLE_TIMEOUT_EWMA_WEIGHT = 0.05
-# lowest idle loss rate at which idle connections count as dropped: two resets in a row, or seven time-outs
+# lowest fraction of attempts lost on idle connections at which the network counts as dropping idle
+# connections: two resets in a row, or seven time-outs
 MIN_IDLE_LOSS_RATE = 0.3
 IDLE_LOSS_MULTIPLE = 2.0
 IDLE_BOUND_DOUBLING_NS = 10_000_000_000
@@ -54,16 +55,16 @@
         self.connect_failure_rate = 0.0
         """Fraction of new connections that failed, 0 to 1."""
         self._idle_loss_rate = 0.0
-        # longest idle time of connections that are reused, in ns, before this bound doubles over time
+        # bound on the idle time of reused connections in ns when last set; the bound doubles over time
         self._idle_bound_ns = 0
-        # time at which the bound on the idle time of connections was last set; 0: never
+        # time in ns at which the bound on the idle time of reused connections was last set; 0: never
         self._idle_bound_set_at_ns = 0
 
     def usable_idle_ns(self, now_ns: int, status: EndpointStatus) -> int:
         """Return the idle time of the connection that an attempt would use, in ns; 0: a new connection."""
         if not status.idle_since_ns:
             return 0
-        # The idle time is at least 1, even if the connection became idle just now: 0 means a new connection.
+        # Even a connection that became idle just now has an idle time of 1 ns, as 0 stands for a new one.
         idle_ns = now_ns - status.idle_since_ns[-1] + 1
         max_idle_ns = self._max_idle_ns(now_ns) if self._idle_bound_set_at_ns else self._idle_timeout_ns
         return idle_ns if idle_ns <= max_idle_ns else 0
@@ -85,7 +86,8 @@
         """Update the loss rates; return whether an attempt was lost as its idle connection was dropped."""
         result = attempt.result
         if result is AttemptResult.NOT_SENT:
-            return False  # an attempt that was not sent used no connection
+            # An attempt that was not sent used no connection, and so changes no loss rate of connections.
+            return False
         if result in ANSWERED:
             attempt.status.idle_since_ns.append(now_ns)
         if not attempt.idle_ns:
@@ -109,7 +111,8 @@
         return True
 
     def _max_idle_ns(self, now_ns: int) -> int:
-        # If new connections fail more often than idle connections, closing the idle ones would gain nothing.
+        # Closing idle connections gains nothing if new connections fail more often than attempts are lost on
+        # idle connections.
         if self.connect_failure_rate > self._idle_loss_rate:
             return self._idle_timeout_ns
         doublings = min(
--- a/moleport/policy/discovery_polling.py
+++ b/moleport/policy/discovery_polling.py
@@ -27,11 +27,12 @@
 MIN_BACKOFF_NS = 250_000_000
 MAX_BACKOFF_DOUBLINGS = 4
 MIN_JITTER_RATIO = 0.5
-# longest wait before the first poll of discovery, as a fraction of the poll interval
+# longest wait of a starting node before its first poll of discovery, as a fraction of the poll interval
 FIRST_POLL_RATIO = 0.5
-# time within which polling notifies a node of a change of the endpoint list; the requirement is 6 s
+# longest time from a change of the endpoint list until polling notifies a node of the change;
+# the requirement is 6 s
 NOTIFICATION_LIMIT_NS = 5_750_000_000
-# time within which a poll of discovery delivers a list or fails
+# time within which a poll of discovery delivers the endpoint list or fails
 POLL_TIMEOUT_NS = 2_500_000_000
 # time without a message after which a watch of the endpoint list counts as failed
 WATCH_SILENCE_NS = 3_000_000_000
@@ -46,7 +47,7 @@
         self._random = random
         self._actions = actions
         self._is_watching = False
-        # start time of the poll of discovery in progress; None: no poll is in progress
+        # start time of the poll of discovery that is in progress, in ns; None: no poll is in progress
         self._polled_at_ns: int | None = None
         # number of consecutive failures of polls and watches of discovery
         self._failure_count = 0
--- a/moleport/policy/quotas.py
+++ b/moleport/policy/quotas.py
@@ -34,7 +34,7 @@
 
     def __init__(self, tenants: tuple[api.Tenant, ...]) -> None:
         self._tenants = tenants
-        # number of requests that have arrived from all known tenants
+        # number of requests that have arrived at this node from all known tenants
         self._arrival_count = 0
         # token bucket of each tenant, by tenant index
         self._buckets: dict[int, TokenBucket] = {}
--- a/moleport/policy/state.py
+++ b/moleport/policy/state.py
@@ -11,7 +11,7 @@
 from moleport.policy import interface as api
 from moleport.policy.interface import NOT_EXECUTED, AttemptResult, DeduplicationScope, Idempotency
 
-# time from writing the last byte of a repeated request until the endpoint has received the request
+# time allowed from writing the last byte of a repeated request until its arrival at the endpoint
 REPEAT_TRANSIT_NS = 20_000_000
 
 
--- a/moleport/policy/timing.py
+++ b/moleport/policy/timing.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-# length of a measurement window: the time between two updates of rates and caps
+# length of a measurement window in ns: the time between two updates of rates and caps
 WINDOW_NS = 500_000_000
 
 
