--- a/moleport/policy/candidate_index.py
+++ b/moleport/policy/candidate_index.py
@@ -31,9 +31,9 @@
         self._own_zone_grid: SlotGrid[T] = SlotGrid()
         # zone of each endpoint, by endpoint id
         self._zones: dict[bytes, int] = {}
-        # number of endpoints in each zone
+        # number of endpoints in each zone, by zone
         self._endpoint_counts: dict[int, int] = {}
-        # fraction of the keys that is assigned to the node's own zone, times HASH_RATIO_SCALE
+        # fraction of all keys for which the node prefers endpoints of its own zone, times HASH_RATIO_SCALE
         self._own_zone_ratio = 0
 
     def __len__(self) -> int:
--- a/moleport/policy/endpoint_registry.py
+++ b/moleport/policy/endpoint_registry.py
@@ -23,7 +23,8 @@
 from moleport.policy.state import EndpointStatus
 
 DEFAULT_WEIGHT = 1.0
-# The list of ready endpoints is sorted if more than 1 / 50 is new; otherwise new ones are inserted singly.
+# The list of ready endpoints is sorted when the endpoints to be added are more than 1 / 50 of its length.
+# Fewer new endpoints are inserted into the sorted list one at a time.
 BULK_MULTIPLE = 50
 
 
--- a/moleport/policy/endpoint_subset.py
+++ b/moleport/policy/endpoint_subset.py
@@ -34,14 +34,15 @@
 from moleport.policy.state import EndpointStatus
 
 MIN_ENDPOINT_COUNT = 48
-# number of endpoints in the subset per attempt of this node in flight
+# number of endpoints in the subset that this node uses, per attempt of this node in flight
 ENDPOINTS_PER_REQUEST_RATIO = 4.0
-# factor per window by which the highest mean number of attempts in flight decays
+# factor per measurement window by which this node's highest mean number of attempts in flight decays
 DECAY_FACTOR = 0.99
 GOLDEN_RATIO = (sqrt(5.0) - 1.0) / 2.0
-# weight of the newest window in the moving mean of the fraction of requests without a key
+# weight of the newest measurement window in the moving mean of the fraction of requests without a key
 KEYLESS_EWMA_WEIGHT = 0.5
-# fraction of the draws that prefer the node's own zone; every second draw is from all zones
+# fraction of the random draws of endpoints in which a node prefers its own zone; every second draw is
+# from all zones
 OWN_ZONE_DRAW_RATIO = 0.5
 
 
@@ -80,7 +81,7 @@
         self._ring = ring
         self._start = start
         length = min(1.0, width / max(1, len(ring)))
-        # number of nodes whose arcs cover each place on the ring
+        # number of nodes whose subsets cover each place on the ring of endpoints
         overlap_count = round(length * node_count)
         self.length = min(1.0, overlap_count / node_count) if overlap_count else length
 
@@ -108,11 +109,12 @@
             self._start = settings.node_index / settings.node_count
             self._own_zone_start = settings.node_index * GOLDEN_RATIO
         self._peak_in_flight = 0.0
-        # number of requests without a key in the current window
+        # number of requests without a key in the current measurement window
         self._keyless_count = 0
         # moving mean of the fraction of requests without a key
         self._keyless_ratio = 0.0
-        self._rings_version = -1  # version of the endpoint set that the rings were built from
+        # version of the endpoint set from which the rings of endpoints were built
+        self._rings_version = -1
         self._ring = self._own_zone_ring = Ring([])
         self._arc = self._own_zone_arc = Arc(self._ring, 0.0, 0.0, 1.0)
 
--- a/moleport/policy/hardware_types.py
+++ b/moleport/policy/hardware_types.py
@@ -17,13 +17,13 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-# lowest weight of a load report in the mean utilization of a hardware type; the first reports weigh more
+# lowest weight of a load report in the mean utilization of a hardware type; its first reports weigh more
 MIN_REPORT_EWMA_WEIGHT = 0.1
-# number of load reports that each hardware type needs before hash ratios change
+# number of load reports that each hardware type needs before the hash ratios of the types change
 MIN_REPORT_COUNT = 3
 GAIN_EXPONENT = 0.3
 MIN_HASH_RATIO = 0.1
-# lowest utilization that a hardware type counts with; a lower utilization counts as this value
+# lowest utilization of a hardware type in the update of its hash ratio; a lower one counts as this value
 MIN_UTILIZATION_RATIO = 0.1
 
 
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -86,9 +86,10 @@
         else:
             digest = blake2b(name, digest_size=RANK_BYTES)
         self.rank = int.from_bytes(digest.digest(), "little")
-        # index of the slot that the claim occupies, in the probe sequence of the claim
+        # index, in the probe sequence of this claim, of the slot of the hash table that the claim occupies
         self.probe = 0
-        # fraction of the keys probing the slot of the claim that map to the claim, times HASH_RATIO_SCALE
+        # fraction of the keys probing the slot of this claim that map to the claiming endpoint, times
+        # HASH_RATIO_SCALE
         self.key_ratio = HASH_RATIO_SCALE
         self.value = value
 
@@ -109,20 +110,22 @@
 
     def __init__(self) -> None:
         """Create a grid without members."""
-        # number of slots less 1; the number of slots is a power of two
+        # bit mask of slot numbers: the number of slots of the hash table, a power of two, less 1
         self._mask = MIN_SLOT_COUNT - 1
         self._slots: dict[int, Claim[T]] = {}
-        # one byte per slot of the grid, 1 for an occupied slot; empty until the grid is built
+        # One byte per slot of the hash table, 1 for an occupied slot; empty until the hash table is built.
         # The bytes are repeated beyond the last slot, so that no window of slots wraps around.
         self._occupied = bytearray()
-        # claims that were displaced from a slot to a later one of their probe sequences, by slot
+        # claims of endpoints that were displaced from a slot of the hash table to a later slot of their probe
+        # sequences, by the slot that they lost
         self._displaced: dict[int, list[Claim[T]]] = {}
         self._claims: dict[bytes, list[Claim[T]]] = {}
-        # weight in units and value of each member of the grid, by name
+        # weight (in multiples of 1 / WEIGHT_UNITS) and value of each member of the hash table, by member name
         self._members: dict[bytes, tuple[int, T]] = {}
-        self._slot_units = WEIGHT_UNITS  # weight that one slot of the grid stands for, in units
+        # weight that one slot of the hash table stands for, in multiples of 1 / WEIGHT_UNITS
+        self._slot_units = WEIGHT_UNITS
         self._claim_count = 0
-        # number of members of each weight, by weight in units
+        # number of members of the hash table with each weight, by weight in multiples of 1 / WEIGHT_UNITS
         self._weight_counts: dict[int, int] = {}
         self.total_units = 0
 
@@ -236,7 +239,7 @@
         for name in names:
             units, value = self._members.get(name, (0, None))
             if units == self._slot_units and value is not None and name not in self._claims:
-                # fast path for the most common case, a new member with the weight of one slot
+                # fast path for the most common case, a new member of the hash table with the weight of a slot
                 self._claims[name] = [Claim(name, 0, value)]
             else:
                 self._adjust_claims(name)
@@ -276,7 +279,8 @@
     def _release(self, claim: Claim[T]) -> None:
         """Free the slot of a claim: the displaced claim of lowest rank moves there and frees its own slot."""
         if not self._occupied:
-            return  # while the grid is being rebuilt, a claim has no slot to free
+            # No claim of an endpoint has a slot to free while the hash table is being rebuilt.
+            return
         mask = self._mask
         freed = claim.slot(claim.probe, mask)
         self._remove_displacements(claim, 0)
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -30,17 +30,18 @@
 
     def __init__(self) -> None:
         """Create a tracker without any requests."""
-        # number of start positions of each hot key, by key; a hot key may use one endpoint more than this
+        # number of positions in the endpoint sequence of each hot key at which selection may start, by key;
+        # a hot key may use one endpoint more than this
         self.fan_out: dict[int, int] = {}
-        # decayed request count of each key, multiplied by the scale
+        # decayed request count of each key, multiplied by the weight of a new request (`_scale`)
         self._counts: dict[int, float] = {}
-        # weight of a new request in the request counts of keys
+        # weight of a new request in the request counts of keys; older requests count less as the weight grows
         self._scale = 1.0
-        # sum of the request counts of all keys, multiplied by the scale
+        # sum of the decayed request counts of all keys, multiplied by the weight of a new request (`_scale`)
         self._total = 0.0
-        # heap of (request count times the scale, key), with each key once; a count may be an earlier one
+        # heap of (request count times `_scale`, key) with each counted key once; counts may be outdated
         self._count_heap: list[tuple[float, int]] = []
-        # keys with a repeated request since the last update of the hot keys
+        # already counted keys that had another request since the last update of the hot keys
         self._repeated_keys: dict[int, None] = {}
 
     def record(self, key: int) -> None:
--- a/moleport/policy/key_ordering.py
+++ b/moleport/policy/key_ordering.py
@@ -71,7 +71,7 @@
         self._actions = actions
         self._send_first = send_first
         self._finish_unsent = finish_unsent
-        # queue of the requests with each ordered key, by key
+        # queue of the requests for each key whose requests are sent one at a time, by key
         self._queues: dict[int, KeyQueue] = {}
 
     def enqueue(self, now_ns: int, active: ActiveRequest) -> bool:
