--- a/moleport/policy/load_reports.py
+++ b/moleport/policy/load_reports.py
@@ -16,9 +16,10 @@
 from moleport.policy.state import EndpointStatus
 
 UTILIZATION = "utilization"
-# mean utilization of the ready endpoints below which the fleet has headroom
+# mean utilization (fraction of the cores in use) of the ready endpoints below which the fleet counts as
+# having headroom
 HEADROOM_UTILIZATION_RATIO = 0.6
-# number of integer units that stand for a utilization of 1.0
+# number of integer units that stand for a utilization of 1.0, with all cores of an endpoint in use
 UTILIZATION_UNITS = 1 << 40
 
 
@@ -29,7 +30,7 @@
         self._fields = settings.load_report_fields
         self._has_utilization = UTILIZATION in settings.load_report_fields
         self._hardware_types = hardware_types
-        # sum of the utilization of the ready endpoints, in units: sums of integers have no rounding error
+        # sum of the utilization of all ready endpoints, in integer units to avoid rounding errors
         self._total_units = 0
 
     def has_headroom(self, ready_count: int) -> bool:
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -49,22 +49,24 @@
 RECENT_SUCCESS_NS = 500_000_000
 MAX_SILENCE_NS = 2_000_000_000
 EJECTION_FAILURE_RATE = 0.5
-# lowest failure rate for an ejection, as a multiple of the failure rate of the fleet
+# Lowest failure rate at which an endpoint is ejected, as a multiple of the failure rate of the fleet.
 # Failures of the whole fleet are not the fault of one endpoint.
 OUTLIER_MULTIPLE = 2.5
 REPLACEMENT_MARGIN_RATE = 0.25
 # fraction of the ready endpoints that may be ejected; ejecting more endpoints would overload the others
 MAX_EJECTED_RATIO = 1 / 4
-# fraction of the ready endpoints that may be ejected when a failed connection is the cause
+# Fraction of the ready endpoints that may be ejected when a failed connection is the cause.
 # Failed connections are not a sign of overload.
 MAX_UNREACHABLE_RATIO = 3 / 4
 EJECTION_NS = 2_000_000_000
 MAX_EJECTION_DOUBLINGS = 4
 MAX_SILENCE_EJECTION_NS = 4 * EJECTION_NS
 MIN_JITTER_RATIO = 0.5
-# number of ejection notices that are kept; the oldest are dropped if the caller does not remove them
+# number of notices of ejections and reinstatements that are kept; the oldest notices are dropped if the
+# caller does not remove them
 MAX_NOTICE_COUNT = 1024
-# heap entries per ejected endpoint, plus a constant, above which the heap of failure rates is rebuilt
+# The heap of failure rates is rebuilt when it has more entries than this multiple of the number of ejected
+# endpoints, plus a constant.
 MAX_STALE_MULTIPLE = 8
 
 NOT_COUNTED = (
@@ -87,7 +89,7 @@
         """Ejections and reinstatements of endpoints that the caller has not removed yet, the oldest first."""
         self.ejected: dict[EndpointStatus, None] = {}
         """The ready endpoints that are ejected; a dict, as the order of a set differs between processes."""
-        # heap of (failure rate, id) of the ejected endpoints; some entries are out of date
+        # heap of (failure rate, endpoint id) of the ejected endpoints; some entries are out of date
         self._by_failure_rate: list[tuple[float, api.EndpointId]] = []
 
     def may_try(self, now_ns: int, status: EndpointStatus) -> bool:
@@ -107,7 +109,7 @@
         if result is AttemptResult.OK:
             status.succeeded_at_ns = now_ns
         elif result is AttemptResult.CONNECT_FAILED and now_ns - status.succeeded_at_ns < MAX_SILENCE_NS:
-            # A failed connection does not count if the endpoint has recently answered on other connections.
+            # A failed connection is ignored if another connection to the endpoint recently got an answer.
             return
         is_failed = result is not AttemptResult.OK
         weight = self._outcome_weight(now_ns, status, result)
@@ -142,8 +144,8 @@
 
     def eject(self, now_ns: int, status: EndpointStatus, result: AttemptResult) -> None:
         """Eject an endpoint for a random duration, after an attempt with this result."""
-        # An ejection grows with the time for which an endpoint has had no success.
-        # A shorter ejection has no effect on an endpoint that seldom gets requests of this node.
+        # The ejection of an endpoint grows with the time for which the endpoint has had no success.
+        # A short ejection has no effect on an endpoint that seldom gets requests of this node.
         silence_ns = min(status.silence_ns(now_ns), MAX_SILENCE_EJECTION_NS)
         ejection_ns = max(silence_ns, EJECTION_NS << status.ejection_doublings)
         duration_ns = jittered_ns(self._random, ejection_ns, MIN_JITTER_RATIO)
--- a/moleport/policy/rejection_rates.py
+++ b/moleport/policy/rejection_rates.py
@@ -16,9 +16,9 @@
 from moleport.policy.state import EndpointStatus
 
 REJECTION_EWMA_WEIGHT = 0.2
-# factor by which the rejection rates of endpoints decay per window
+# factor per measurement window by which the rejection rates of endpoints decay
 DECAY_FACTOR = 0.95
-# rejection rate of an endpoint below which the rate is treated as 0
+# An endpoint's rejection rates are reset to 0 when those for all request classes are below this value.
 MIN_TRACKED_RATE = 1e-3
 
 
@@ -40,7 +40,10 @@
             self._affected[status] = None
 
     def decay(self) -> None:
-        """Decay all rejection rates at the end of a window; stop tracking endpoints with small rates only."""
+        """Decay the rates of ready endpoints at the end of a window, and drop rates that are all small.
+
+        The rates of a removed endpoint are dropped too.
+        """
         for status in list(self._affected):
             rates = status.rejection_rates
             if status.is_ready:
--- a/moleport/policy/selection.py
+++ b/moleport/policy/selection.py
@@ -47,7 +47,8 @@
 MAX_REJECTION_RATE = 0.5
 MAX_REJECTING_COUNT = 100
 REJECTION_PENALTY_REQUESTS = 2.0
-# decimal digits of a rejection rate that count: a small remainder of an old rate must not break ties
+# Number of decimal digits to which the rejection rate of an endpoint is rounded for its load score.
+# A small remainder of an old rejection rate must not break ties between load scores.
 REJECTION_RATE_DIGIT_COUNT = 1
 HIGH_UTILIZATION_RATIO = 0.7
 MIN_CONNECT_FAILURE_RATE = 0.1
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -49,19 +49,19 @@
 from moleport.policy.state import EndpointStatus
 from moleport.policy.timing import WINDOW_NS
 
-# fraction of the assumed capacity of an endpoint in slow start that is used
+# Fraction of the assumed capacity of an endpoint in slow start up to which the endpoint gets requests.
 # Requests cost more than usual while the caches of an endpoint are empty.
 CAPACITY_MARGIN_RATIO = 0.8
-# largest number of tokens of an endpoint in slow start; one token is one request
+# largest number of slow start tokens of an endpoint at one node; one token allows one request
 MAX_TOKEN_COUNT = 2.0
-# lowest number of initial tokens of an endpoint, of all nodes together
+# Lowest number of slow start tokens that a new endpoint gets from all nodes together, at most one per node.
 # A fleet of one endpoint needs its first requests.
 FLEET_INITIAL_TOKEN_COUNT = 3.0
-# number of requests within the overload window that an endpoint of any capacity survives
+# number of requests within the setting `overload_window_ns` that an endpoint of any capacity survives
 UNPROVEN_COUNT = 3
-# factor per window by which the measured request rate of warm endpoints decays
+# factor per measurement window by which the measured request rate of warm endpoints decays
 RATE_DECAY_FACTOR = 0.99
-# weight of the newest window in the moving mean of the arrival rate of requests
+# weight of the newest measurement window in the moving mean of the arrival rate of requests
 ARRIVAL_EWMA_WEIGHT = 0.5
 
 
@@ -85,25 +85,25 @@
         self._random = random
         self._endpoints = endpoints
         self._outliers = outliers
-        # ready endpoints that were still warming up at the last check
+        # ready endpoints that had not warmed up yet when slow start last checked their capacity
         self._warming: dict[EndpointStatus, None] = {}
-        # total weight of the ready endpoints that are warm, in units
+        # total weight of the ready endpoints that have warmed up, in multiples of 1 / WEIGHT_UNITS
         self._warm_units = 0
-        # number of requests that warm endpoints answered successfully in the current window
+        # number of requests that warm endpoints answered successfully in the current measurement window
         self._window_answers = 0
         self.window_arrivals = 0
         """Requests that arrived in the current window."""
-        # decaying sum of the successful answers of warm endpoints
+        # decaying sum over all measurement windows: number of successful answers of warm endpoints
         self._warm_answers = 0.0
-        # decaying sum over all windows of the weight of the warm endpoints times the window length in ns
+        # decaying sum over all measurement windows: weight of the warm endpoints times window length in ns
         self._warm_weight_ns = 0.0
-        # decaying sum of the lengths of all windows in ns
+        # decaying sum of the lengths of all measurement windows, in ns
         self._measured_ns = 0.0
-        # successful answers of warm endpoints per ns and weight of 1.0; 0: not known
+        # number of requests that warm endpoints answer successfully per ns and weight of 1.0; 0: not known
         self._warm_request_rate = 0.0
-        # requests per ns and weight of 1.0 that are assumed while no warm endpoint has been measured
+        # request rate per ns and weight of 1.0 assumed in slow start until a warm endpoint has been measured
         self._assumed_request_rate = 0.0
-        # moving mean of the arrival rate at this node, in requests per ns
+        # moving mean of the arrival rate of requests at this node, in requests per ns
         self._arrival_rate = 0.0
         self._burst_ratio = 1.0
 
@@ -195,14 +195,14 @@
     def end_window(self, now_ns: int) -> None:
         """Update the request rates from the counts of the window that ends."""
         # The request rate of warm endpoints is measured by answers, not by attempts.
-        # The loss of other endpoints raises the attempts at one endpoint beyond its capacity.
+        # When endpoints are lost, the attempts at each remaining endpoint can exceed its capacity.
         self._warm_answers = RATE_DECAY_FACTOR * self._warm_answers + self._window_answers
         weight_ns = WINDOW_NS * self.update_warm_weight(now_ns)
         self._warm_weight_ns = RATE_DECAY_FACTOR * self._warm_weight_ns + weight_ns
         self._measured_ns = RATE_DECAY_FACTOR * self._measured_ns + WINDOW_NS
         self.update_burst_ratio(now_ns)
         mean_rate = self._warm_answers / self._warm_weight_ns if self._warm_weight_ns else 0.0
-        # The request rate of warm endpoints falls slowly.
+        # The measured request rate of warm endpoints falls slowly.
         # Shedding load lowers the number of answers, but not the capacity of an endpoint.
         self._warm_request_rate = max(mean_rate, RATE_DECAY_FACTOR * self._warm_request_rate)
         self._update_arrival_rate()
