--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -58,7 +58,8 @@
 _LIST_ENTRY = struct.Struct("<6sBHHBfQ")
 _FLOAT_BYTES = 4
 _ACTION_COUNT_BYTES = 4
-# number of bytes to which the text in an output record is truncated; its u16 length field allows 65_535
+# Number of bytes to which the text of a FAULT record, the traceback that it reports to the simulator, is
+# truncated. The record's u16 length field allows 65_535.
 _MAX_TEXT_BYTES = 60_000
 
 # Layouts of output records without text, by action code. Each record begins with its action code (u8).
--- a/moleport/adapter/translation.py
+++ b/moleport/adapter/translation.py
@@ -34,8 +34,8 @@
 
 _T = TypeVar("_T")
 
-# Endpoint update kind 1 of the simulator's protocol has no event of the decision module.
-# A SYNC record with endpoint update kind 1 therefore raises WireError.
+# The keys are numbers in SYNC records, with which the simulator states the kind of an endpoint list update.
+# No kind of this project corresponds to number 1, so a SYNC record with number 1 raises WireError.
 UPDATE_KINDS = {
     0: api.EndpointUpdateKind.CACHED,
     2: api.EndpointUpdateKind.DELTA,
--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -26,7 +26,8 @@
 # An attempt that has had more than MAX_LOCAL_FAULT_COUNT connect failures by faults of this machine or its
 # network ends as not sent if the latest failure is a missing route.
 MAX_LOCAL_FAULT_COUNT = 8
-# Interval at which a waiting attempt asks its owner again whether it may connect or write.
+# After a hold, in which the event loop did not run, an attempt must wait until all input is read. At this
+# interval it asks the attempt supervisor, which starts all attempts, again whether it may connect or write.
 PERMISSION_POLL_INTERVAL_S = 0.002
 # Delay of an attempt's expiry timer above which a hold of the process is assumed.
 MAX_TIMER_DELAY_NS = 5 * NS_PER_MS
@@ -41,7 +42,7 @@
     """The owner's decision on an attempt that is about to connect or to write."""
 
     GRANTED = "write"
-    # The attempt asks its owner again after PERMISSION_POLL_INTERVAL_S whether it may connect or write.
+    # The attempt may not connect or write yet; after PERMISSION_POLL_INTERVAL_S it asks its supervisor again.
     WAIT = "wait"
     DENIED = "stop"  # the attempt ends as not sent, without writing its request
 
@@ -49,7 +50,8 @@
 class AttemptState(Enum):
     """The progress of an attempt."""
 
-    # The attempt has no connection, and waits for its owner's permission or for the end of a connect backoff.
+    # The attempt has no connection. It waits for the end of a connect backoff, or for the permission of the
+    # attempt supervisor, which starts and authorizes all attempts, to connect or write.
     WAITING = "waiting"
     CONNECTING = "connecting"  # the attempt is opening a connection to the server
     CONNECTED = "connected"  # the attempt has a new connection to the server, and has written nothing to it
@@ -152,7 +154,7 @@
         self.effective_start_ns = effective_start_ns
         self.expires_at_ns = expires_at_ns
         self.write_deadline_ns = write_deadline_ns
-        # Time (monotonic ns) at which the attempt's request was written, set by the owner; 0 before then.
+        # Time (monotonic ns) at which the attempt's request was written, set by AttemptSupervisor; 0 before.
         self.written_at_ns = 0
         self._head = head
         self._body = body
@@ -266,7 +268,7 @@
         """Connect to the server, and write the request or handle the error."""
         connection = ServerConnection(self.pool)
         pools = self.pool.pools
-        # A connecting socket is counted here; `ServerConnection` counts the socket of an open connection.
+        # In `ConnectionPools.socket_count`, Attempt counts connecting sockets, ServerConnection open ones.
         pools.socket_count += 1
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, *self.pool.address)
@@ -327,7 +329,7 @@
 
     def _write_request(self, connection: ServerConnection) -> None:
         """Write the request with its remaining time as X-Deadline, or end the attempt if no time remains."""
-        if connection.closed:  # the connection was closed while the attempt waited for permission to write
+        if connection.closed:  # server connection closed while the attempt supervisor held back the write
             self.end(AttemptResult.CONNECT_FAILED)
             return
         now = monotonic_ns()
@@ -336,8 +338,8 @@
         if remaining_ns <= 0 or is_write_overdue:
             self._owner.record_attempt_event(self, Event.ATTEMPT_STOPPED_AFTER_DEADLINE)
             self.pool.return_unused(connection)
-            # The server is not at fault if the attempt missed its write deadline, or waited for its owner's
-            # permission or for the end of a backoff.
+            # The server is not at fault if the attempt missed its write deadline, or waited for the attempt
+            # supervisor's permission to connect or write, or for the end of a connect backoff.
             is_own_delay = is_write_overdue or self._permission_timer is not None
             self.end(AttemptResult.NOT_SENT if is_own_delay else AttemptResult.CONNECT_FAILED)
             return
--- a/moleport/node/connection_table.py
+++ b/moleport/node/connection_table.py
@@ -15,7 +15,9 @@
 MAX_NEW_SECONDS = 2.0  # time limit from a client connection's setup to its first complete request
 MAX_READING_SECONDS = 2.0  # time limit for receiving the second or a later request of a client connection
 MAX_IDLE_SECONDS = 2.5  # time limit of a client connection that is idle: no request is partial or unanswered
-MIN_IDLE_SECONDS = 0.5  # idle time before a client connection may be closed to enforce MAX_IDLE_RATIO
+# Idle time before a client connection may be closed because idle connections use more than the fraction
+# MAX_IDLE_RATIO of all client slots.
+MIN_IDLE_SECONDS = 0.5
 # Fraction of all client slots that idle connections may use.
 # Above MAX_IDLE_RATIO, the connections that have been idle longest are closed, if idle for MIN_IDLE_SECONDS.
 MAX_IDLE_RATIO = 0.15
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -177,7 +177,8 @@
     def _apply_next_slice(self) -> None:
         """Apply a slice of the pending entries, and schedule the next one in another loop iteration."""
         entry_ids = list(islice(self._pending_endpoints, SLICE_ENDPOINT_COUNT))
-        # A later update may have replaced all endpoints that were pending when the slice was scheduled.
+        # A long update of the endpoint list is applied in slices. After a slice was scheduled, another update
+        # may have replaced all endpoints that were still pending, so that none is left for the slice.
         if entry_ids:
             self._apply_entries(
                 EndpointUpdateKind.DELTA, [self._pending_endpoints.pop(entry_id) for entry_id in entry_ids]
--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -36,7 +36,8 @@
         self._loop = asyncio.get_running_loop()
         self._ended_holds_ns = 0  # sum of the lengths, in ns, of all holds of the event loop that have ended
         self._last_heartbeat_ns = monotonic_ns()
-        # Start (monotonic ns) of the earliest hold after which data may still be unread; None: no such hold.
+        # A hold is a period in which the event loop did not run. This is the start (monotonic ns) of the
+        # earliest hold whose data, which arrived while it lasted, may still be unread; None: no such hold.
         self._hold_began_ns: int | None = None
 
     def start(self) -> None:
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -32,7 +32,10 @@
     ENDPOINT_AVAILABLE = "endpoint_available"
     DEADLINE_NOT_EXTENDED = "deadline_not_extended"
     RESULT_MATCHES_WRITE = "result_matches_write"  # no attempt ends as unsent after its request is written
-    ENDED_IN_TIME = "ended_in_time"  # consistency_check.py checks ENDED_IN_TIME and ATTEMPTS_AGREE
+    # No request and no attempt is still active after its deadline plus the tolerance MAX_OVERDUE_NS;
+    # checked by consistency_check.py.
+    ENDED_IN_TIME = "ended_in_time"
+    # The policy counts as many attempts in flight as the node; checked by consistency_check.py.
     ATTEMPTS_AGREE = "attempts_agree"
 
 
--- a/moleport/node/json_stream.py
+++ b/moleport/node/json_stream.py
@@ -20,9 +20,12 @@
     def __init__(self) -> None:
         """Create a splitter for the beginning of a stream."""
         self._buffer = b""
-        # Number of bytes at the start of the buffer that are already scanned for braces.
+        # Number of bytes at the start of `_buffer` that are already scanned for braces. The buffer holds the
+        # bytes received since the last complete JSON object of the stream.
         self._scanned_bytes = 0
-        self._depth = 0  # number of braces that are open at the end of the scanned part of the buffer
+        # Number of braces that are open at the end of the part of `_buffer` that is scanned for braces. The
+        # buffer holds the bytes received since the last complete JSON object of the stream.
+        self._depth = 0
 
     def feed(self, data: bytes) -> list[bytes]:
         """Add `data` to the buffer and return the JSON objects that are then complete, in order.
--- a/moleport/node/server_connection.py
+++ b/moleport/node/server_connection.py
@@ -95,8 +95,9 @@
         self.closed = True
         self._pool.on_disconnected(self)
         if classify_error(exc) in LOCAL_FAULTS:
-            # The server is not at fault for a local error.
-            # A completely written request may have been executed, so its attempt ends as CANCELLED.
+            # The server is not at fault for a local error, so the attempt does not end as RESET. The server
+            # may have executed a completely written request, so the attempt does not end as NOT_SENT either,
+            # but as CANCELLED, which leaves open whether the request was executed.
             self._fail_attempt(AttemptResult.CANCELLED, if_unwritten=AttemptResult.NOT_SENT)
         else:
             self._fail_attempt(AttemptResult.RESET)
--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -189,8 +189,9 @@
         initial_threshold = self.initial_threshold()
         thresholds = [breaker.threshold(initial_threshold) for breaker in self.breakers]
         priorities = [self.priority(index) for index in range(len(thresholds))]
-        # Caps follow from running minima of the thresholds of the request classes by descending priority.
-        # Comparing all pairs of request classes would be too slow.
+        # A request class's cap on attempts in flight also depends on the lowest circuit breaker threshold of
+        # the classes of higher priority. Running minima of the thresholds by descending priority give it,
+        # because comparing all pairs of request classes would be too slow.
         by_priority = sorted(range(len(priorities)), key=priorities.__getitem__, reverse=True)
         lowest_thresholds = list(accumulate((thresholds[index] for index in by_priority), min))
         negated_priorities = [-priorities[index] for index in by_priority]
--- a/moleport/policy/hardware_types.py
+++ b/moleport/policy/hardware_types.py
@@ -19,11 +19,14 @@
 
 # lowest weight of a load report in the mean utilization of a hardware type; its first reports weigh more
 MIN_REPORT_EWMA_WEIGHT = 0.1
-# number of load reports that each hardware type needs before the hash ratios of the types change
+# Number of load reports that each hardware type needs before the hash ratios of the types change. A type's
+# hash ratio is the fraction of the keys hashing to one of its endpoints that do not skip the endpoint.
 MIN_REPORT_COUNT = 3
 GAIN_EXPONENT = 0.3
 MIN_HASH_RATIO = 0.1
-# lowest utilization of a hardware type in the update of its hash ratio; a lower one counts as this value
+# A hardware type's hash ratio is the fraction of the keys hashing to one of its endpoints that do not skip
+# the endpoint. The update of the ratio takes a lower utilization (fraction of the type's cores in use) as
+# this value.
 MIN_UTILIZATION_RATIO = 0.1
 
 
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -86,10 +86,11 @@
         else:
             digest = blake2b(name, digest_size=RANK_BYTES)
         self.rank = int.from_bytes(digest.digest(), "little")
-        # index, in the probe sequence of this claim, of the slot of the hash table that the claim occupies
+        # A claim assigns one slot of the hash table to an endpoint: the first slot of the claim's probe
+        # sequence that no claim of lower rank occupies. This is the index of that slot in the sequence.
         self.probe = 0
-        # fraction of the keys probing the slot of this claim that map to the claiming endpoint, times
-        # HASH_RATIO_SCALE
+        # A claim assigns one slot of the hash table to an endpoint. This is the fraction of the keys probing
+        # the slot that map to the endpoint, times HASH_RATIO_SCALE; the other keys probe on.
         self.key_ratio = HASH_RATIO_SCALE
         self.value = value
 
@@ -120,7 +121,8 @@
         # sequences, by the slot that they lost
         self._displaced: dict[int, list[Claim[T]]] = {}
         self._claims: dict[bytes, list[Claim[T]]] = {}
-        # weight (in multiples of 1 / WEIGHT_UNITS) and value of each member of the hash table, by member name
+        # By name of each member of the hash table (an endpoint to which keys map): its weight, in multiples
+        # of 1 / WEIGHT_UNITS, and the value that a lookup returns for the keys that map to the member.
         self._members: dict[bytes, tuple[int, T]] = {}
         # weight that one slot of the hash table stands for, in multiples of 1 / WEIGHT_UNITS
         self._slot_units = WEIGHT_UNITS
@@ -239,7 +241,8 @@
         for name in names:
             units, value = self._members.get(name, (0, None))
             if units == self._slot_units and value is not None and name not in self._claims:
-                # fast path for the most common case, a new member of the hash table with the weight of a slot
+                # Fast path for the most common case: a new member of the hash table whose weight is the
+                # weight that one slot stands for, so that the member needs exactly one slot.
                 self._claims[name] = [Claim(name, 0, value)]
             else:
                 self._adjust_claims(name)
@@ -279,7 +282,8 @@
     def _release(self, claim: Claim[T]) -> None:
         """Free the slot of a claim: the displaced claim of lowest rank moves there and frees its own slot."""
         if not self._occupied:
-            # No claim of an endpoint has a slot to free while the hash table is being rebuilt.
+            # A claim assigns one slot of the hash table to an endpoint. A rebuild of the table empties all
+            # slots before it removes claims, so a claim removed during a rebuild has no slot to free.
             return
         mask = self._mask
         freed = claim.slot(claim.probe, mask)
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -39,7 +39,9 @@
         self._scale = 1.0
         # sum of the decayed request counts of all keys, multiplied by the weight of a new request (`_scale`)
         self._total = 0.0
-        # heap of (request count times `_scale`, key) with each counted key once; counts may be outdated
+        # Heap of (decayed request count times `_scale`, key) with each counted key once; counts may be
+        # outdated. `_scale` is the weight of a new request in the counts. It grows, instead of the counts of
+        # older requests being reduced.
         self._count_heap: list[tuple[float, int]] = []
         # already counted keys that had another request since the last update of the hot keys
         self._repeated_keys: dict[int, None] = {}
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -210,7 +210,9 @@
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.fault = ""  # fault that the proxy injects at present: `silent`, `refuse`, or empty for none
+        # Fault that this TCP proxy between the nodes and one server injects at present: `silent` discards
+        # what the server sends, `refuse` resets new connections; empty for none.
+        self.fault = ""
         self.port = 0
 
     async def start(self) -> None:
