--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -18,8 +18,7 @@
 
 MS_PER_SECOND = 1000
 # After its n-th connect failure by a fault of this machine or its network, an attempt waits for
-# BACKOFF_BASE_S * 2**n before it connects again.
-# The exponent n is at most MAX_BACKOFF_DOUBLINGS, and the wait at most MAX_BACKOFF_S.
+# min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2**min(n, MAX_BACKOFF_DOUBLINGS)) seconds before it connects again.
 BACKOFF_BASE_S = 0.0025
 MAX_BACKOFF_DOUBLINGS = 4
 MAX_BACKOFF_S = 0.04
@@ -196,7 +195,8 @@
         if self._state is AttemptState.ENDED:
             return
         if result in UNSENT_RESULTS and self._is_written():
-            # A result of UNSENT_RESULTS would permit a retry, which could execute a written request twice.
+            # The request is completely written, so CANCELLED is reported: a result that claims that the
+            # request was not sent (UNSENT_RESULTS) would permit a retry, which could execute it twice.
             self._owner.on_written_ended_unsent(self, result)
             result = AttemptResult.CANCELLED
         self._set_state(AttemptState.ENDED)
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -40,11 +40,13 @@
 # Lowest target for response times, as a multiple of the tail (TAIL_QUANTILE) of response times without load.
 # A target below the response times without load would be missed at any threshold.
 HEADROOM_FACTOR = 1.5
-# weight of the latest tail (TAIL_QUANTILE) of response times in the smoothed tail without load, if the
-# latest tail is lower than the smoothed one
+# Weight of a measurement window's tail in the smoothed tail of all windows, if the window's tail is lower.
+# The smoothed tail estimates the tail without load. Tail: TAIL_QUANTILE of this node's response times of one
+# request class, at any load, without endpoints that are ejected, warming up or much slower than the others.
 UNLOADED_FALL_RATIO = 0.2
-# weight of the latest tail (TAIL_QUANTILE) of response times in the smoothed tail without load, if the
-# latest tail is higher than the smoothed one
+# Weight of a measurement window's tail in the smoothed tail of all windows, if the window's tail is higher.
+# The smoothed tail estimates the tail without load. Tail: TAIL_QUANTILE of this node's response times of one
+# request class, at any load, without endpoints that are ejected, warming up or much slower than the others.
 UNLOADED_RISE_RATIO = 0.01
 # lowest threshold of a circuit breaker, as a fraction of the highest number of attempts in flight for
 # which response times recently met their target
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -43,7 +43,9 @@
         # outdated. `_scale` is the weight of a new request in the counts. It grows, instead of the counts of
         # older requests being reduced.
         self._count_heap: list[tuple[float, int]] = []
-        # already counted keys that had another request since the last update of the hot keys
+        # Keys with a request at this node since the hot keys were last determined (at each end of a
+        # measurement window), if the key already had a decayed request count (`_counts`) when the request
+        # came. Only these keys, and those that are hot already, can be hot at the next end of a window.
         self._repeated_keys: dict[int, None] = {}
 
     def record(self, key: int) -> None:
