--- a/moleport/__main__.py
+++ b/moleport/__main__.py
@@ -45,7 +45,8 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.on_signal)
     dispatcher.start()
     if early_sighups:
-        # A SIGHUP during the start may announce a configuration file that changed after its first read.
+        # A SIGHUP that arrived while the node was starting may announce a change of the configuration file
+        # after the node first read the file, so the file is read again.
         reloader.on_signal()
     await _wait_for_first(dispatcher.wait_until_endpoints_known(), stop_requested.wait())
     if stop_requested.is_set():
--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -54,32 +54,42 @@
 _LENGTH = struct.Struct("<I")
 _BATCH_HEADER = struct.Struct("<QI")
 _REPLY_HEADER = struct.Struct("<II")
-# layout of one endpoint in a ROSTER record, with its fields in the order of `ListEntry`
+# layout of one endpoint in a ROSTER record, which carries an endpoint list from the simulator to the decision
+# module; the fields are in the order of those of the class `ListEntry`
 _LIST_ENTRY = struct.Struct("<6sBHHBfQ")
 _FLOAT_BYTES = 4
 _ACTION_COUNT_BYTES = 4
-# Number of bytes to which the text of a FAULT record, the traceback that it reports to the simulator, is
-# truncated. The record's u16 length field allows 65_535.
+# Number of bytes to which the text of a FAULT record is truncated. In a FAULT record the decision module
+# reports the traceback of an exception to the simulator; the record's u16 length field allows 65_535 bytes.
 _MAX_TEXT_BYTES = 60_000
 
-# Layouts of output records without text, by action code. Each record begins with its action code (u8).
+# Layouts of the records without text in which the decision module sends its actions, such as the forwarding
+# of a request, to the simulator: by action code (u8), with which each record begins.
 _ACTION_LAYOUTS = {
-    # fields of a FORWARD record after the action code: request id, endpoint id, timeout of the attempt in ns
+    # fields, after the action code, of a FORWARD record, in which the decision module forwards a request to
+    # an endpoint: request id, endpoint id, timeout of the attempt in ns
     ActionCode.FORWARD: struct.Struct("<BQ6sQ"),
-    # fields of a BUSY record after the action code: request id, time in ns that Retry-After states
+    # fields, after the action code, of a BUSY record, in which the decision module rejects a request: request
+    # id, time in ns that the client is told to wait before a retry, as in the header Retry-After
     ActionCode.BUSY: struct.Struct("<BQQ"),
-    # field of a REPORT_FAILURE record after the action code: request id
+    # field, after the action code, of a REPORT_FAILURE record, in which the decision module sends the final
+    # answer that a request failed: request id
     ActionCode.REPORT_FAILURE: struct.Struct("<BQ"),
-    # fields of a WAKE_AT record after the action code: clock time in ns at which the timer fires, timer id
+    # fields, after the action code, of a WAKE_AT record, in which the decision module sets a timer: time in
+    # ns on the simulator's clock at which the timer fires, timer id
     ActionCode.WAKE_AT: struct.Struct("<BQI"),
-    # field of a HANG_UP record after the action code: id of the endpoint whose idle connections close
+    # field, after the action code, of a HANG_UP record, in which the decision module closes the idle
+    # connections to an endpoint: endpoint id
     ActionCode.HANG_UP: struct.Struct("<B6s"),
-    # field of a LISTEN record after the action code: constant 1, which starts a watch of the endpoint list
+    # field, after the action code, of a LISTEN record, in which the decision module starts to watch the
+    # endpoint list for changes: constant 1
     ActionCode.LISTEN: struct.Struct("<BB"),
-    # field of a SOURCE record: number of the decision module instance whose actions follow
+    # field, after the action code, of a SOURCE record, which precedes the actions of one instance of the
+    # decision module in the output to the simulator: number of that instance
     ActionCode.SOURCE: struct.Struct("<BH"),
 }
-# header of an output record with text: action code, number of bytes of the UTF-8 text that follows
+# header of a record with text that the decision module sends to the simulator: action code, number of bytes
+# of the UTF-8 text that follows
 _TEXT_HEADER = struct.Struct("<BH")
 
 
--- a/moleport/adapter/translation.py
+++ b/moleport/adapter/translation.py
@@ -34,8 +34,8 @@
 
 _T = TypeVar("_T")
 
-# The keys are numbers in SYNC records, with which the simulator states the kind of an endpoint list update.
-# No kind of this project corresponds to number 1, so a SYNC record with number 1 raises WireError.
+# Kinds of endpoint list update by the number that states the kind in the simulator's SYNC records. No kind
+# of this project corresponds to number 1, so a SYNC record with number 1 raises WireError.
 UPDATE_KINDS = {
     0: api.EndpointUpdateKind.CACHED,
     2: api.EndpointUpdateKind.DELTA,
@@ -72,7 +72,8 @@
 def encode_action(action: api.Action) -> bytes:
     """Encode an action of the decision module as an output record."""
     if isinstance(action, api.Forward):
-        # `Forward.write_deadline_ns` is not encoded, as a FORWARD record has no field for a write deadline.
+        # The field `write_deadline_ns` of the action Forward is not sent to the simulator, as the FORWARD
+        # record that encodes the action has no field for a write deadline.
         return frames.encode_action(
             ActionCode.FORWARD, action.request_id, action.endpoint_id, action.timeout_ns
         )
--- a/moleport/config/endpoints.py
+++ b/moleport/config/endpoints.py
@@ -83,7 +83,7 @@
     host, _, port = text.rpartition(":")
     try:
         if ":" in host:
-            # The function inet_pton rejects an IPv6 address with a scope id; ip_address accepts it.
+            # The IPv6 address of an endpoint is checked with ip_address, as inet_pton rejects a scope id.
             # The import of ipaddress is local, as a global import would slow down each start of the node.
             from ipaddress import ip_address
 
@@ -139,7 +139,8 @@
         if not isinstance(endpoint_id, str):
             raise ValueError("endpoint id is not text")
         if not endpoint_id.isascii():
-            # An endpoint id with a lone surrogate raises an error here: its hash needs the UTF-8 encoding.
+            # Encoding an endpoint id with a lone surrogate raises UnicodeEncodeError, so that the entry
+            # of the endpoint list is rejected: the hash of the id needs the id's UTF-8 encoding.
             endpoint_id.encode()
         weight = float(entry.get("weight", DEFAULT_WEIGHT))
         return DiscoveredEndpoint(
@@ -150,7 +151,8 @@
             intern(str(entry.get("kind", ""))),
             int(entry.get("cell", 0)),
             state,
-            # The default weight of an endpoint replaces NaN too, as each comparison with NaN is false.
+            # The default weight replaces a weight of an endpoint that is not positive or is infinite. It
+            # replaces NaN too, as each comparison with NaN is false.
             weight if 0.0 < weight < inf else DEFAULT_WEIGHT,
             max(0, int(entry.get("started_ms", 0))),
         )
--- a/moleport/config/node_config.py
+++ b/moleport/config/node_config.py
@@ -113,7 +113,8 @@
     except OSError as error:
         raise ConfigError(f"{CONFIG_VARIABLE}: cannot read {path!r}: {error.strerror}") from None
     except (ValueError, RecursionError):
-        # json.load raises RecursionError for a text with thousands of nesting levels.
+        # RecursionError is caught, and reported as invalid JSON in the node's configuration file, as
+        # json.load raises it for a text with thousands of nesting levels.
         raise ConfigError(f"{CONFIG_VARIABLE}: {path!r} does not contain valid JSON") from None
     if not isinstance(document, dict):
         raise ConfigError(f"{CONFIG_VARIABLE}: {path!r} does not contain a JSON object")
--- a/moleport/policy/actions.py
+++ b/moleport/policy/actions.py
@@ -26,7 +26,8 @@
     """A queue of tasks, ordered by due time and, for equal times, by the order of deferral."""
 
     def __init__(self) -> None:
-        # heap of the deferred tasks: (due time in ns, sequence number, task)
+        # heap of the tasks that the load balancing policy has put off until a due time: (due time in ns on
+        # the policy's clock, sequence number of the deferral, task)
         self._heap: list[tuple[int, int, Task]] = []
         self._sequence_number = 0
 
--- a/moleport/policy/admission.py
+++ b/moleport/policy/admission.py
@@ -48,18 +48,21 @@
 HIGHER_PRIORITY_MULTIPLE = 1.2
 MUCH_HIGHER_PRIORITY_MULTIPLE = 2.0
 RESERVED_RATIO = 0.8
-# Fraction of the cap on attempts in flight that applies to a request which its client marks as a retry.
-# A client's retry arrives after a part of the latency objective has passed.
+# Fraction of its request class's cap on attempts in flight that applies to a request which its client marks
+# as a retry. The fraction is below 1, as a client's retry arrives after a part of the latency objective of
+# the class has passed.
 CLIENT_RETRY_RATIO = 0.5
-# fraction of the cap on attempts in flight that applies to a request over the quota of its tenant
+# fraction of its request class's cap on attempts in flight that applies to a request over the quota of its
+# tenant
 OVER_QUOTA_RATIO = 0.5
 LOSS_FACTOR_MULTIPLE = 2.0
 # A failed attempt is sampled with a response time that is this multiple of the elapsed time after a
 # time-out, and this multiple of the latency objective after a rejection.
 FAILED_SAMPLE_FACTOR = 2.0
 RESPONSE_TIME_EWMA_WEIGHT = 0.05
-# Response times of an endpoint are sampled while their mean is below this multiple of the typical one.
-# One slow endpoint is no evidence of the load of the fleet.
+# Response times of an endpoint are sampled for the circuit breakers of the request classes while the mean of
+# their ratios to the smoothed median response time of their class is below this value. Those of a slower
+# endpoint are left out, as one slow endpoint is no evidence of the load of the fleet of endpoints.
 MAX_SAMPLED_WAITING_RATIO = 2.0
 
 
--- a/moleport/policy/balancer.py
+++ b/moleport/policy/balancer.py
@@ -150,7 +150,8 @@
         self._key_ordering.cool_down(now_ns, active, outcome.result)
         is_conclusive = self._record_evidence(now_ns, active, attempt, outcome)
         class_index = active.request.class_index
-        # Admission control has to read the ejection time of an endpoint before outlier detection changes it.
+        # When an attempt ends, admission control runs before outlier detection: it reads the time until which
+        # the endpoint is ejected, which outlier detection may change.
         self._admission.on_attempt_ended(now_ns, class_index, attempt, outcome.elapsed_ns)
         recorded_result = outcome.result if is_conclusive else AttemptResult.CANCELLED
         self._record_result(now_ns, attempt.status, recorded_result, class_index)
--- a/moleport/policy/circuit_breaker.py
+++ b/moleport/policy/circuit_breaker.py
@@ -30,15 +30,17 @@
 
 from moleport.policy.timing import WINDOW_NS
 
-# weight of the previous value in exponentially weighted means of response times
+# weight of the previous value in a circuit breaker's exponentially weighted means, over measurement windows,
+# of the response times of its request class
 SMOOTHING_FACTOR = 0.5
 # This quantile of the response times of a request class is compared with their target.
 # The longest response times are due to the requests themselves, not to load.
 TAIL_QUANTILE = 0.85
 # lowest target for the response times of a request class, as a fraction of its latency objective
 TARGET_RATIO = 0.7
-# Lowest target for response times, as a multiple of the tail (TAIL_QUANTILE) of response times without load.
-# A target below the response times without load would be missed at any threshold.
+# Lowest target that a circuit breaker sets for the response times of its request class, unless the latency
+# objective is lower, as a multiple of the tail (TAIL_QUANTILE) of response times without load. A target below
+# the response times without load would be missed at any threshold of the circuit breaker, however low.
 HEADROOM_FACTOR = 1.5
 # Weight of a measurement window's tail in the smoothed tail of all windows, if the window's tail is lower.
 # The smoothed tail estimates the tail without load. Tail: TAIL_QUANTILE of this node's response times of one
--- a/moleport/policy/connection_health.py
+++ b/moleport/policy/connection_health.py
@@ -27,7 +27,8 @@
 from moleport.policy.interface import AttemptResult
 from moleport.policy.state import AttemptRecord, EndpointStatus
 
-# longest idle time of a connection that counts as fresh; a new connection is fresh too
+# Longest idle time of a connection to an endpoint at which an attempt on it counts in the loss rate of fresh
+# connections, not in that of idle connections. A new connection counts as fresh too.
 MAX_FRESH_IDLE_NS = 250_000_000
 LOSS_EWMA_WEIGHT = 0.2
 # Weight of a time-out in the idle loss rate, the fraction of attempts lost on idle connections.
--- a/moleport/policy/hashing.py
+++ b/moleport/policy/hashing.py
@@ -117,8 +117,8 @@
         # One byte per slot of the hash table, 1 for an occupied slot; empty until the hash table is built.
         # The bytes are repeated beyond the last slot, so that no window of slots wraps around.
         self._occupied = bytearray()
-        # claims of endpoints that were displaced from a slot of the hash table to a later slot of their probe
-        # sequences, by the slot that they lost
+        # A claim assigns one slot of the hash table to an endpoint. These are the claims that were displaced
+        # from a slot to a later slot of their probe sequences, by the number of the slot that they lost.
         self._displaced: dict[int, list[Claim[T]]] = {}
         self._claims: dict[bytes, list[Claim[T]]] = {}
         # By name of each member of the hash table (an endpoint to which keys map): its weight, in multiples
--- a/moleport/policy/outlier_detection.py
+++ b/moleport/policy/outlier_detection.py
@@ -109,7 +109,8 @@
         if result is AttemptResult.OK:
             status.succeeded_at_ns = now_ns
         elif result is AttemptResult.CONNECT_FAILED and now_ns - status.succeeded_at_ns < MAX_SILENCE_NS:
-            # A failed connection is ignored if another connection to the endpoint recently got an answer.
+            # Outlier detection ignores a connection to an endpoint that could not be opened if another
+            # connection to that endpoint recently got a successful answer.
             return
         is_failed = result is not AttemptResult.OK
         weight = self._outcome_weight(now_ns, status, result)
--- a/moleport/policy/state.py
+++ b/moleport/policy/state.py
@@ -11,7 +11,8 @@
 from moleport.policy import interface as api
 from moleport.policy.interface import NOT_EXECUTED, AttemptResult, DeduplicationScope, Idempotency
 
-# time allowed from writing the last byte of a repeated request until its arrival at the endpoint
+# Time allowed for a retry, sent by the node, to arrive at the endpoint after its last byte is written. The
+# write has to end this long before the end of the deduplication window, in which endpoints drop repeats.
 REPEAT_TRANSIT_NS = 20_000_000
 
 
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -16,7 +16,8 @@
 from soak.oracle import ANSWER_GRACE_SECONDS, ClientRequest, Observations
 from soak.servers import read_message, reset
 
-# time for which a client still waits for a response after the request's deadline and ANSWER_GRACE_SECONDS
+# time for which a client still waits for a response after the end of ANSWER_GRACE_SECONDS, the time after the
+# request's deadline within which a late response is no violation
 GIVE_UP_SECONDS = 1.0
 # DISCONNECT_RATIO is the ratio of requests whose client disconnects without waiting for the response.
 # INVALID_REQUEST_RATIO is the ratio of invalid requests among the requests to nodes that are up.
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -27,7 +27,8 @@
     """Reset a TCP connection unless the connection has ended."""
     if writer.get_extra_info("socket") is None:
         return
-    # The setsockopt method raises ValueError if the descriptor of the socket is closed already.
+    # ValueError is suppressed too, as setsockopt raises it if the descriptor of the socket of the connection
+    # to reset is closed already.
     with suppress(OSError, RuntimeError, ValueError):
         connection_socket = writer.get_extra_info("socket")
         connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
--- a/soak/shims.py
+++ b/soak/shims.py
@@ -17,7 +17,9 @@
 from pathlib import Path
 from typing import Any
 
-# names of the signed 64-bit integers in the control file of a node's shims, in the order of the file
+# Names of the signed 64-bit integers in the control file of a node's shims, in the order of the file. The
+# shims are replacements of the node's clock, socket and event loop that inject faults; the soak or a test
+# controls them through the file.
 FIELDS = ("wall_offset_ms", "accept_errno", "connect_errno", "connect_port", "accepts_failed")
 LAYOUT = struct.Struct(f"<{len(FIELDS)}q")
 ROOT = Path(__file__).parent.parent
