--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -41,9 +41,9 @@
     """The owner's decision on an attempt that is about to connect or to write."""
 
     GRANTED = "write"
-    # The attempt may not connect or write yet; after PERMISSION_POLL_INTERVAL_S it asks its supervisor again.
+    # The attempt supervisor delays a connect or write; the attempt asks again in PERMISSION_POLL_INTERVAL_S.
     WAIT = "wait"
-    DENIED = "stop"  # the attempt ends as not sent, without writing its request
+    DENIED = "stop"  # the attempt supervisor denies a connect or write: the attempt ends as not sent
 
 
 class AttemptState(Enum):
@@ -283,7 +283,7 @@
             pools.socket_count -= 1
         self._connect_task = None
         pools.on_connected()
-        # An attempt may end in the event loop iteration in which its connection is established.
+        # The state is checked, as the attempt may have ended in the event loop iteration that connected it.
         if self._state is AttemptState.ENDED:
             connection.close()
         elif connection.closed:
--- a/moleport/node/attempt_supervisor.py
+++ b/moleport/node/attempt_supervisor.py
@@ -46,7 +46,8 @@
         """Start the next attempt of a request, or report NOT_SENT at once if it may not be started."""
         request = self._active.get(action.request_id)
         if request is None:
-            # A request that is no longer active has no attempt count, so each possible attempt index is
+            # The policy wants to start an attempt of a request that is no longer in the node's registry of
+            # active requests. The request's attempt count is unknown, so each possible attempt index is
             # reported to the policy as not sent.
             # The policy ignores the indices of attempts that have already ended.
             for index in range(self._max_attempts):
@@ -103,8 +104,8 @@
             self.record_attempt_event(attempt, Event.ATTEMPT_STOPPED_SERVER_REMOVED)
             return WritePermission.DENIED
         if self._hold_detector.may_have_unread_input():
-            # After a hold of the process, a discovery update about the server's drain may be unread, and the
-            # drain grace may be over.
+            # After a hold of the process, an attempt must wait to connect or write: a discovery update about
+            # its server's drain may be unread, and the drain grace may be over.
             self.record_attempt_event(attempt, Event.ATTEMPT_DELAYED_AFTER_STALL)
             return WritePermission.WAIT
         if request.half_closed_at_ns or request.client_request.client.has_disconnected():
@@ -207,5 +208,6 @@
         if result is AttemptResult.OK:
             self._requests.send_final_response(request.request_number, 200, response.headers, response.body)
         elif result is AttemptResult.CLIENT_ERROR:
-            # A CLIENT_ERROR is a fault of the request, so another server would send the same response.
+            # The attempt result CLIENT_ERROR is a fault of the request. Its status is forwarded without a
+            # retry, because another server would send the same response.
             self._requests.send_final_response(request.request_number, response.status, [])
--- a/moleport/node/client_connection.py
+++ b/moleport/node/client_connection.py
@@ -83,11 +83,11 @@
         self._is_closing = False
         self._is_half_closed = False  # whether the client has shut down its sending side
         self._discarded_bytes = 0
-        # Deadline (monotonic ns) of the client's latest request that was passed to `_serve`; 0: no deadline.
+        # Deadline (monotonic ns) of the client's latest processed request; 0: none, as for a readiness check.
         self._deadline_ns = 0
         # Timer that aborts the connection if the client does not read a response in time.
         self._write_timer: asyncio.TimerHandle | None = None
-        # Whether a call of `_advance` is running, so that a nested call returns at once.
+        # Whether `_advance`, which processes the client's requests, is running; a nested call then returns.
         self._is_advancing = False
         self._is_paused = False
         self._paused_check_timer: asyncio.TimerHandle | None = None
@@ -96,15 +96,17 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection, and set the lower bound for the arrival of its unread data."""
-        # A cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
+        # The client connection's transport is cast, because isinstance would fail: uvloop's transport class
+        # does not inherit from asyncio.Transport.
         self._transport = transport = cast(asyncio.Transport, transport)
-        # With a write buffer limit of 0, the event loop calls `resume_writing` once the buffer is empty.
+        # With a limit of 0 for a client's write buffer, `resume_writing` is called once the buffer is empty.
         transport.set_write_buffer_limits(high=0)
         now = monotonic_ns()
         if now - self._earliest_unread_arrival_ns < MIN_HOLD_NS or not self._is_readable():
             self._earliest_unread_arrival_ns = 0
         else:
-            # The data of one client may have arrived much later than the earliest client in the accept queue.
+            # The lower bound of the arrival time of this client's data is raised if possible, because the
+            # data may have arrived much later than the earliest client in the accept queue.
             data_age_ns = last_data_age_ns(transport.get_extra_info("socket"))
             if data_age_ns is not None:
                 self._earliest_unread_arrival_ns = max(self._earliest_unread_arrival_ns, now - data_age_ns)
@@ -210,7 +212,8 @@
         if self._is_closing or transport.is_closing():
             return
         parser = self._parser
-        # Reading from a client is paused while its requests wait: more stay in the kernel's receive buffer.
+        # Reading from a client is paused while its received requests wait for an earlier response, so that
+        # further data stays in the kernel's receive buffer.
         if self._is_paused != bool(parser.ready or parser.has_unparsed()):
             self._toggle_reading(transport)
         if self._is_busy:
@@ -234,7 +237,8 @@
                 self._table.mark_active(self)
                 self._serve(parser.ready.popleft())
             elif parser.error_status:
-                # Data behind a parse error can't be parsed; all requests before the error have been answered.
+                # Client data after a parse error can't be parsed: the connection ends with an error response.
+                # All requests before the error have been answered.
                 self._is_busy = True
                 self._keep_alive = False
                 self.send_response(parser.error_status, [], b"")
@@ -289,7 +293,7 @@
             deadline_ns=parsed.arrived_at_ns + parsed.timeout_ns,
         )
 
-    # Methods that write responses, and that continue or close the connection after each.
+    # Methods that write responses to the client, and after each response keep or close its connection.
 
     def send_response(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """Write the final response of the request in progress."""
--- a/moleport/node/connection_table.py
+++ b/moleport/node/connection_table.py
@@ -13,7 +13,9 @@
 # Delay of a check of the client connections' time limits that is due just after a hold of the process.
 SWEEP_RETRY_SECONDS = 0.02
 MAX_NEW_SECONDS = 2.0  # time limit from a client connection's setup to its first complete request
-MAX_READING_SECONDS = 2.0  # time limit for receiving the second or a later request of a client connection
+# Time limit of a client connection that has received only a part of its second or a later request, from the
+# first part after all earlier requests are answered to the complete request.
+MAX_READING_SECONDS = 2.0
 MAX_IDLE_SECONDS = 2.5  # time limit of a client connection that is idle: no request is partial or unanswered
 # Idle time before a client connection may be closed because idle connections use more than the fraction
 # MAX_IDLE_RATIO of all client slots.
@@ -101,7 +103,7 @@
         """Return whether no slot is free and no connection is lingering, new or idle."""
         return self.open_count >= self.max_connections and not (self._lingering or self._new or self._idle)
 
-    # Methods by which client connections report changes of their state.
+    # Methods by which client connections report changes of their state to the connection table.
 
     def on_connected(self, connection: TrackedConnection) -> None:
         """Add a connection that has been set up."""
--- a/moleport/node/consistency_check.py
+++ b/moleport/node/consistency_check.py
@@ -39,7 +39,8 @@
         self._policy_attempt_count = policy_attempt_count
         self._hold_detector = hold_detector
         self._telemetry = telemetry
-        # Requests and attempts that were overdue at the last consistency check, and have been reported.
+        # Requests and attempts that were active more than MAX_OVERDUE_NS after their deadline when the node's
+        # state was last checked for consistency, and that have been reported.
         # An entry is the request number and the attempt index, which is None for the request itself.
         self._reported_overdue: set[tuple[int, int | None]] = set()
         # The policy's count of attempts in flight minus the node's count, at the last consistency check.
@@ -52,7 +53,8 @@
     def _on_timer(self) -> None:
         """Schedule the next check, and check the state of the node now unless a hold has just ended."""
         self.start()
-        # Just after a hold, overdue timers that end requests and attempts may not have run yet.
+        # Just after a hold of the process, the consistency check is skipped, because overdue timers that end
+        # requests and attempts may not have run yet.
         if not self._hold_detector.may_have_unread_input():
             self.check()
 
--- a/moleport/node/discovery_watch.py
+++ b/moleport/node/discovery_watch.py
@@ -134,9 +134,9 @@
             # MAX_UPDATE_BYTES limits the time of the call.
             # The entries of the update are parsed in slices later.
             version, is_snapshot, entries = parse_update_header(json.loads(text))
-            # A discovery update with an older version than the current one, even a snapshot, would revert
-            # newer changes. If discovery has restarted its version count, the next watch, which requests a
-            # snapshot, accepts the update.
+            # A discovery update with an older version than the current one, even a snapshot, is rejected,
+            # because it would revert newer changes. If discovery has restarted its version count, the next
+            # watch, which requests a snapshot, accepts the update.
             if version < self._version:
                 raise EndpointListError(
                     f"update version {version} is older than the current version {self._version}"
@@ -213,7 +213,8 @@
     def close(self) -> None:
         """Close the connection of the watch without reporting the end of the watch."""
         self._timeout.cancel()
-        self._parser = None  # breaks the reference cycle between the HTTP parser and the watch
+        # The watch drops its HTTP parser, which refers to the watch, to break the reference cycle.
+        self._parser = None
         if self._transport is not None:
             self._transport.abort()
 
@@ -240,7 +241,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the watch request, or abort the connection if the watch was closed while connecting."""
-        # A cast is needed because uvloop's transport class does not inherit from asyncio.Transport.
+        # The transport of the watch's connection to discovery is cast, because isinstance would fail:
+        # uvloop's transport class does not inherit from asyncio.Transport.
         self._transport = transport = cast(asyncio.Transport, transport)
         if self._owner.is_current(self):
             self._parser = httptools.HttpResponseParser(self)
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -106,8 +106,9 @@
             self._loop.call_later(self._backoff.next_delay_seconds(), self.discovery.open_watch)
             return
         if self._pending_endpoints:
-            # All pending endpoints are applied before the end of the watch is reported to the policy, which
-            # would interpret an endpoint update after the report as a sign that a watch is open.
+            # All pending endpoints (changed, but not yet applied to the policy) are applied before the end of
+            # the watch is reported to the policy, which would interpret an endpoint update after the report
+            # as a sign that a watch is open.
             self._apply_entries(EndpointUpdateKind.DELTA, list(self._pending_endpoints.values()))
             self._pending_endpoints.clear()
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.FAILED, ()))
@@ -123,8 +124,8 @@
         """Send all known endpoints to the policy."""
         self._resync_timer = None
         endpoints = tuple(self._to_policy_endpoint(endpoint) for endpoint in self._known.values())
-        # The known endpoints are sent to the policy as a cached list.
-        # A snapshot would mean that discovery has just sent them.
+        # After a failure of the policy on an endpoint update, the known endpoints are sent to it as a cached
+        # list. A snapshot would mean that discovery has just sent them.
         self._dispatch_event(api.EndpointUpdate(EndpointUpdateKind.CACHED, endpoints))
 
     def _apply_update(self, kind: EndpointUpdateKind, endpoints: tuple[DiscoveredEndpoint, ...]) -> None:
@@ -140,7 +141,8 @@
         elif self._pending_endpoints:
             for entry_id in latest:
                 self._pending_endpoints.pop(entry_id, None)
-        # The cached endpoint list is applied before requests are accepted, so it is not divided into slices.
+        # The cached endpoint list of the node's configuration is applied at the start of the node, before
+        # requests are accepted, so it is not divided into slices.
         if len(latest) <= SLICE_ENDPOINT_COUNT or kind is EndpointUpdateKind.CACHED:
             self._apply_entries(kind, list(latest.values()), absent)
         else:
@@ -220,8 +222,8 @@
         self._dispatch_event(api.EndpointUpdate(kind, endpoints))
         for endpoint_id in retired_ids:
             self._pools.retire_endpoint(endpoint_id)
-        # While endpoints are pending, no start time is forgotten: `_known` lacks new servers that are still
-        # pending, but their start times must be kept.
+        # While changed endpoints wait to be applied to the policy, no server's start time is deleted: the
+        # known endpoints (`_known`) lack new servers that still wait, but their start times must be kept.
         if not self._pending_endpoints:
             self._start_times.forget_removed(self._known)
 
