--- a/moleport/node/error_codes.py
+++ b/moleport/node/error_codes.py
@@ -13,10 +13,18 @@
 class Fault(Enum):
     """The party at fault for an error, which determines how the error is handled."""
 
-    DESCRIPTORS = "descriptors"  # no free file descriptor: close an idle connection and retry the same peer
-    MACHINE = "machine"  # transient fault of this machine: retry the same peer, which is not at fault
-    PATH = "path"  # no route to the peer: the peer is at fault, unless other peers are unreachable too
-    PEER = "peer"  # fault of the peer: use another peer
+    # Class of socket errors: no free file descriptor. After a failed connect, the node closes an idle
+    # connection to any server and connects to the same peer again.
+    DESCRIPTORS = "descriptors"
+    # Class of socket errors: transient fault of this machine. After a failed connect, the node connects to
+    # the same peer again, as the peer is not at fault.
+    MACHINE = "machine"
+    # Class of socket errors: no route to the peer. The peer is at fault, unless the node found no route to
+    # other peers either.
+    PATH = "path"
+    # Class of socket errors: fault of the peer, such as a refused or reset connection. After a failed
+    # connect, another peer is to be used.
+    PEER = "peer"
 
 
 FAULT_BY_ERRNO = {
--- a/moleport/node/graceful_shutdown.py
+++ b/moleport/node/graceful_shutdown.py
@@ -69,7 +69,8 @@
     await listener.wait_until_set_up()
 
     while listener.table.connections and loop.time() < end_time:
-        # The event loop reads new data of clients before unused connections are closed.
+        # During the shutdown, the event loop repeatedly gets time to read new data of clients, before the
+        # client connections without a request are closed.
         await asyncio.sleep(DRAIN_CHECK_PERIOD_SECONDS)
         listener.table.close_unused()
 
--- a/moleport/node/invariants.py
+++ b/moleport/node/invariants.py
@@ -46,17 +46,21 @@
     deduplication_window_ns: int  # time for which servers drop requests with a repeated idempotency key
     attempt_index: int  # position of the attempt among those of its request, from 0
     max_attempts: int
-    other_attempt_count: int  # number of other attempts of the request that have not ended
+    # Number of the request's attempts that have not ended, without the attempt that is being written.
+    other_attempt_count: int
     is_answered: bool  # whether the final response to the request has been sent to the client
-    # Time since the first attempt of the request that may have been executed; None without such an attempt.
+    # Time (ns) from the write of the request's first attempt that a server may have executed to the write of
+    # this attempt; None without such an earlier attempt.
     since_execution_ns: int | None
-    # Time since the node detected the client's disconnect; None if the client is connected.
+    # Time (ns) from the node's detection of the client's disconnect to the write of this attempt; None if no
+    # disconnect was detected.
     since_client_disconnect_ns: int | None
-    # Time since the node learned of the server's drain, removal, move or restart; None without one.
+    # Time (ns) from the moment at which the node learned of the server's drain, removal, move or restart to
+    # the write of this attempt; None if the node knows of no such change.
     since_endpoint_removal_ns: int | None
     drain_grace_ns: int  # time after a server's drain or removal in which requests may still be written
     timeout_ns: int  # remaining time that the request states to the server in X-Deadline
-    remaining_ns: int  # remaining time until the deadline of the client's request
+    remaining_ns: int  # time (ns) from the write of this attempt to the deadline of the client's request
 
 
 def violated_invariants(write: RequestWrite) -> Iterator[Invariant]:
--- a/moleport/node/listener.py
+++ b/moleport/node/listener.py
@@ -124,7 +124,8 @@
         """
         self._telemetry.count(Event.ACCEPT_FAILED, errno=error.errno)
         if classify_error(error) is Fault.DESCRIPTORS or error.errno in (errno.ENOBUFS, errno.ENOMEM):
-            # Without a freed file descriptor, queued clients would wait until a connected client disconnects.
+            # If accept(2) lacks a file descriptor or memory, a client connection is closed to free its own;
+            # otherwise clients in the accept queue would wait until a connected client disconnects.
             self.table.reclaim_slot(len(self._setup_tasks))
         self._pause_accepting()
         doublings = min(self._consecutive_accept_failures, MAX_ACCEPT_BACKOFF_DOUBLINGS)
@@ -136,7 +137,9 @@
         """Create the client connection of an accepted socket."""
         try:
             client_socket.setblocking(False)
-            with suppress(OSError):  # setsockopt fails if memory is short or the client has disconnected
+            # A failure to set TCP_NODELAY on an accepted client socket is ignored: it occurs if memory is
+            # short or the client has disconnected.
+            with suppress(OSError):
                 client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.connect_accepted_socket(
                 lambda: ClientConnection(self.context, earliest_arrival_ns), client_socket
--- a/moleport/node/load_report.py
+++ b/moleport/node/load_report.py
@@ -32,7 +32,7 @@
                 raise LoadReportError(f"load report of {len(header)} bytes exceeds {MAX_REPORT_BYTES} bytes")
             fields = dict(part.strip().split(b"=", 1) for part in header.split(b","))
             values = tuple(float(fields[name]) for name in self._field_names)
-            # NaN as a value of a load report is rejected too, because each comparison with NaN is false.
+            # The range check of a load report's values rejects NaN too, as each comparison with NaN is false.
             if not all(0.0 <= value < inf for value in values):
                 raise LoadReportError(f"load report value in {values} is negative or not finite")
             return values
--- a/moleport/node/parsed_request.py
+++ b/moleport/node/parsed_request.py
@@ -31,7 +31,7 @@
         self.forwarded_headers: list[bytes] = []  # header lines that are forwarded to a server
         self.header_values: dict[bytes, bytes] = {}  # last value of each request header, by lower-case name
         self.header_bytes = 0  # size in bytes of the request target, header lines and trailers
-        # Bytes received of the request head, or of the body with its chunk framing after the head.
+        # Number of bytes received of the request head, or, after it, of the body with its chunk framing.
         self.size_bytes = 0
         self.body = bytearray()
         self.keep_alive = True
--- a/moleport/node/request.py
+++ b/moleport/node/request.py
@@ -73,7 +73,8 @@
     is_answered: bool = False
     # Time (monotonic ns) at which the client's half-close was detected; 0: not detected.
     half_closed_at_ns: int = 0
-    # Time (monotonic ns) of the write of the first attempt that a server may have executed; 0: none yet.
+    # Time (monotonic ns) at which the request's first attempt that a server may have executed was written;
+    # 0: no such attempt yet.
     first_execution_ns: int = 0
     # Number of attempts of the request so far, including those that could not be started.
     attempt_count: int = 0
@@ -97,10 +98,11 @@
         self._telemetry = telemetry
         self._dispatch_event = dispatch_event
         self._loop = asyncio.get_running_loop()
-        self._request_ids: set[bytes] = set()  # X-Request-Id of each active request
+        # X-Request-Id of each request of this node that is unanswered or has attempts in flight.
+        self._request_ids: set[bytes] = set()
         self._last_request_number = 0
         self._is_shutting_down = False
-        # Requests that are unanswered or have attempts in flight, by request number.
+        # Requests that are unanswered or have attempts in flight, by the number that the node gave each.
         self.active: dict[int, PendingRequest] = {}
 
     # Methods that accept or reject new requests.
@@ -121,7 +123,8 @@
             self._telemetry.count(Event.REQUEST_EXPIRED_ON_ARRIVAL, request=request.request_number)
             self._send(request, 504, [])
         elif client_request.request_id in self._request_ids:
-            # Servers would treat a request with the id of an active request as a retry of the active request.
+            # A new request is rejected if its X-Request-Id is that of a request that is unanswered or has
+            # attempts in flight, as servers would treat the new request as a retry of the earlier one.
             self._telemetry.count(Event.REQUEST_DUPLICATE_ID, request=request.request_number)
             self._send(request, 409, [])
         elif self._is_shutting_down or len(self.active) >= self._config.max_requests:
--- a/moleport/node/request_parser.py
+++ b/moleport/node/request_parser.py
@@ -139,7 +139,8 @@
         """Add a header; raise InvalidRequestError if it must not be repeated or the head is too large."""
         partial = self._partial
         assert partial is not None
-        # The size of a request head is also checked here: `_check_size` omits a data slice that completes it.
+        # The size of a request head is checked at each header too, as the check after each slice of received
+        # data does not count the slice that completes the head.
         partial.header_bytes += len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES
         if partial.header_bytes > MAX_HEAD_BYTES:
             raise InvalidRequestError(
--- a/moleport/node/request_validation.py
+++ b/moleport/node/request_validation.py
@@ -30,7 +30,7 @@
 
     The httptools parser has already rejected contradictory framing. Raises InvalidRequestError.
     """
-    # httptools accepts only digits in Content-Length.
+    # Content-Length is converted to a number without a check of its syntax, as httptools accepts only digits.
     length = int(request.header_values.get(b"content-length", b"0"))
     if length > MAX_BODY_BYTES:
         raise InvalidRequestError(
--- a/moleport/node/response_parser.py
+++ b/moleport/node/response_parser.py
@@ -73,9 +73,10 @@
     def _reset_message(self) -> None:
         """Discard the previous message: an earlier response, or an interim response before the final one."""
         self.status = 0
-        # Bytes received of the response head, or of the response body after `on_headers_complete`.
+        # Number of bytes received of the response head, or, once the head is complete, of the response body.
         self._received_bytes = 0
-        self._header_bytes = 0  # bytes received of the response's reason phrase, headers and trailers
+        # Number of bytes received of the response's reason phrase, headers and trailers.
+        self._header_bytes = 0
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._load_report = b""
--- a/moleport/node/server_connection.py
+++ b/moleport/node/server_connection.py
@@ -51,7 +51,9 @@
         self._parser = ResponseParser()
         tcp_socket = transport.get_extra_info("socket")
         self._poller.register(tcp_socket.fileno(), select.POLLIN)
-        with suppress(OSError):  # setsockopt raises OSError if the connection is already broken
+        # A failure to set TCP_NODELAY is ignored: the connection to the server is already broken, which the
+        # event loop reports later.
+        with suppress(OSError):
             tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # With a write buffer limit of 0, the event loop calls `resume_writing` once the kernel has accepted
         # the last byte of the request.
@@ -95,9 +97,9 @@
         self.closed = True
         self._pool.on_disconnected(self)
         if classify_error(exc) in LOCAL_FAULTS:
-            # The server is not at fault for a local error, so the attempt does not end as RESET. The server
-            # may have executed a completely written request, so the attempt does not end as NOT_SENT either,
-            # but as CANCELLED, which leaves open whether the request was executed.
+            # If a fault of this machine breaks the connection after the request is completely written, the
+            # attempt ends neither as RESET (counted against the server, which is not at fault) nor as
+            # NOT_SENT (the server may have executed the request): CANCELLED leaves open whether it did.
             self._fail_attempt(AttemptResult.CANCELLED, if_unwritten=AttemptResult.NOT_SENT)
         else:
             self._fail_attempt(AttemptResult.RESET)
