--- a/moleport/adapter/frames.py
+++ b/moleport/adapter/frames.py
@@ -70,7 +70,7 @@
     # an endpoint: request id, endpoint id, timeout of the attempt in ns
     ActionCode.FORWARD: struct.Struct("<BQ6sQ"),
     # fields, after the action code, of a BUSY record, in which the decision module rejects a request: request
-    # id, time in ns that the client is told to wait before a retry, as in the header Retry-After
+    # id, time in ns for which the rejection asks the client to wait before a retry (header Retry-After)
     ActionCode.BUSY: struct.Struct("<BQQ"),
     # field, after the action code, of a REPORT_FAILURE record, in which the decision module sends the final
     # answer that a request failed: request id
--- a/moleport/node/consistency_check.py
+++ b/moleport/node/consistency_check.py
@@ -43,7 +43,7 @@
         # state was last checked for consistency, and that have been reported.
         # An entry is the request number and the attempt index, which is None for the request itself.
         self._reported_overdue: set[tuple[int, int | None]] = set()
-        # The policy's count of attempts in flight minus the node's count, at the last consistency check.
+        # The policy's count of attempts in flight minus the node's count, when they were last compared.
         self._excess_count = 0
 
     def start(self) -> None:
@@ -53,8 +53,9 @@
     def _on_timer(self) -> None:
         """Schedule the next check, and check the state of the node now unless a hold has just ended."""
         self.start()
-        # Just after a hold of the process, the consistency check is skipped, because overdue timers that end
-        # requests and attempts may not have run yet.
+        # Just after a hold (the event loop did not run for a while), the checks for requests and attempts
+        # past their deadline, and for wrong attempt counts, are skipped, because timers that end requests
+        # and attempts may be overdue and not have run yet.
         if not self._hold_detector.may_have_unread_input():
             self.check()
 
--- a/moleport/policy/endpoint_subset.py
+++ b/moleport/policy/endpoint_subset.py
@@ -41,8 +41,9 @@
 GOLDEN_RATIO = (sqrt(5.0) - 1.0) / 2.0
 # weight of the newest measurement window in the moving mean of the fraction of requests without a key
 KEYLESS_EWMA_WEIGHT = 0.5
-# fraction of the random draws of endpoints in which a node prefers its own zone; every second draw is
-# from all zones
+# Fraction of a node's random draws of an endpoint, for requests without a key, that are from its own zone if
+# that has at least the mean weight of the zones: 1/2, as every second draw is from all zones. If the own zone
+# has less weight, the fraction is reduced in proportion.
 OWN_ZONE_DRAW_RATIO = 0.5
 
 
--- a/moleport/policy/hardware_types.py
+++ b/moleport/policy/hardware_types.py
@@ -17,16 +17,16 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-# lowest weight of a load report in the mean utilization of a hardware type; its first reports weigh more
+# lowest weight of a load report in the mean utilization of a hardware type; a type's first reports weigh more
 MIN_REPORT_EWMA_WEIGHT = 0.1
 # Number of load reports that each hardware type needs before the hash ratios of the types change. A type's
 # hash ratio is the fraction of the keys hashing to one of its endpoints that do not skip the endpoint.
 MIN_REPORT_COUNT = 3
 GAIN_EXPONENT = 0.3
 MIN_HASH_RATIO = 0.1
-# A hardware type's hash ratio is the fraction of the keys hashing to one of its endpoints that do not skip
-# the endpoint. The update of the ratio takes a lower utilization (fraction of the type's cores in use) as
-# this value.
+# The hash ratio of a hardware type (the fraction of the keys hashing to one of its endpoints that do not skip
+# the endpoint) is updated from its utilization (the fraction of its cores in use). In this update, a
+# utilization below MIN_UTILIZATION_RATIO counts as MIN_UTILIZATION_RATIO.
 MIN_UTILIZATION_RATIO = 0.1
 
 
--- a/moleport/policy/hot_keys.py
+++ b/moleport/policy/hot_keys.py
@@ -43,9 +43,9 @@
         # outdated. `_scale` is the weight of a new request in the counts. It grows, instead of the counts of
         # older requests being reduced.
         self._count_heap: list[tuple[float, int]] = []
-        # Keys with a request at this node since the hot keys were last determined (at each end of a
-        # measurement window), if the key already had a decayed request count (`_counts`) when the request
-        # came. Only these keys, and those that are hot already, can be hot at the next end of a window.
+        # Keys with a request in the current measurement window that arrived at this node while the key had a
+        # decayed request count (`_counts`) from earlier requests. The hot keys are determined at the end of
+        # each window; only these keys, and the keys that were hot until then, can be among them.
         self._repeated_keys: dict[int, None] = {}
 
     def record(self, key: int) -> None:
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -194,16 +194,17 @@
 
     def end_window(self, now_ns: int) -> None:
         """Update the request rates from the counts of the window that ends."""
-        # The request rate of warm endpoints is measured by answers, not by attempts.
-        # When endpoints are lost, the attempts at each remaining endpoint can exceed its capacity.
+        # The request rate that warm endpoints can serve is measured by their answers, not by the attempts
+        # sent to them: when endpoints are lost, the attempts at each remaining one can exceed its capacity.
         self._warm_answers = RATE_DECAY_FACTOR * self._warm_answers + self._window_answers
         weight_ns = WINDOW_NS * self.update_warm_weight(now_ns)
         self._warm_weight_ns = RATE_DECAY_FACTOR * self._warm_weight_ns + weight_ns
         self._measured_ns = RATE_DECAY_FACTOR * self._measured_ns + WINDOW_NS
         self.update_burst_ratio(now_ns)
         mean_rate = self._warm_answers / self._warm_weight_ns if self._warm_weight_ns else 0.0
-        # The measured request rate of warm endpoints falls slowly.
-        # Shedding load lowers the number of answers, but not the capacity of an endpoint.
+        # The request rate measured for warm endpoints is used as their capacity, so it falls slowly: by the
+        # factor RATE_DECAY_FACTOR per window at most. When requests are rejected to shed load, there are
+        # fewer answers, but the capacity of an endpoint is unchanged.
         self._warm_request_rate = max(mean_rate, RATE_DECAY_FACTOR * self._warm_request_rate)
         self._update_arrival_rate()
         self._assumed_request_rate = self._warm_request_rate or self._even_request_rate()
