--- a/moleport/node/connection_table.py
+++ b/moleport/node/connection_table.py
@@ -13,8 +13,9 @@
 # Delay of a check of the client connections' time limits that is due just after a hold of the process.
 SWEEP_RETRY_SECONDS = 0.02
 MAX_NEW_SECONDS = 2.0  # time limit from a client connection's setup to its first complete request
-# Time limit of a client connection that has received only a part of its second or a later request, from the
-# first part after all earlier requests are answered to the complete request.
+# Time limit for receiving the rest of a second or later request on a client connection. It starts once a
+# part of the request has been received and all earlier requests are answered, whichever is later, and ends
+# when the request is complete.
 MAX_READING_SECONDS = 2.0
 MAX_IDLE_SECONDS = 2.5  # time limit of a client connection that is idle: no request is partial or unanswered
 # Idle time before a client connection may be closed because idle connections use more than the fraction
--- a/moleport/node/endpoint_list.py
+++ b/moleport/node/endpoint_list.py
@@ -165,8 +165,9 @@
         are applied in slices.
         """
         changed = [endpoint for endpoint in latest.values() if self._known.get(endpoint.id) != endpoint]
-        # Changes of known endpoints are applied before new endpoints, because known endpoints are in use, and
-        # a restarted one is in slow start.
+        # Changes of known endpoints are applied before new endpoints, because known endpoints are in use:
+        # until its change is applied, a restarted endpoint gets requests as before its restart, although it
+        # needs a slow start (fewer requests until it has warmed up).
         changed.sort(key=lambda endpoint: endpoint.id not in self._known)
         leaving = [endpoint for endpoint in changed if endpoint.state is not EndpointState.READY]
         self._pending_endpoints.update(
