--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -93,11 +93,14 @@
         self._window_answers = 0
         self.window_arrivals = 0
         """Requests that arrived in the current window."""
-        # decaying sum over all measurement windows: number of successful answers of warm endpoints
+        # Decaying sum, over all measurement windows, of the number of successful answers of warm endpoints.
+        # Divided by `_warm_weight_ns`, it is their mean request rate per ns and weight of 1.0.
         self._warm_answers = 0.0
-        # decaying sum over all measurement windows: weight of the warm endpoints times window length in ns
+        # Decaying sum, over all measurement windows, of the total weight of the warm endpoints times the
+        # length of the window in ns; the divisor of the mean request rate of warm endpoints.
         self._warm_weight_ns = 0.0
-        # decaying sum of the lengths of all measurement windows, in ns
+        # Decaying sum, in ns, of the lengths of all windows in which the weight of the warm endpoints was
+        # measured. `_warm_weight_ns` divided by it is the mean weight of the warm endpoints.
         self._measured_ns = 0.0
         # number of requests that warm endpoints answer successfully per ns and weight of 1.0; 0: not known
         self._warm_request_rate = 0.0
@@ -203,8 +206,8 @@
         self.update_burst_ratio(now_ns)
         mean_rate = self._warm_answers / self._warm_weight_ns if self._warm_weight_ns else 0.0
         # The request rate measured for warm endpoints is used as their capacity, so it falls slowly: by the
-        # factor RATE_DECAY_FACTOR per window at most. When requests are rejected to shed load, there are
-        # fewer answers, but the capacity of an endpoint is unchanged.
+        # factor RATE_DECAY_FACTOR per measurement window at most. When requests are rejected to shed load,
+        # there are fewer answers, but the capacity of an endpoint is unchanged.
         self._warm_request_rate = max(mean_rate, RATE_DECAY_FACTOR * self._warm_request_rate)
         self._update_arrival_rate()
         self._assumed_request_rate = self._warm_request_rate or self._even_request_rate()
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -31,7 +31,8 @@
 NS_PER_MS = 1_000_000
 # time after a discovery watch becomes silent by which its node must know the endpoint updates it missed
 SILENCE_NOTIFIED_SECONDS = 6.0
-HEARTBEAT_SECONDS = 0.005  # interval at which the soak's driver process measures its event loop's delay
+# interval at which the process that runs the soak's clients and servers measures its event loop's delay
+HEARTBEAT_SECONDS = 0.005
 # errno values of the `fail_calls` fault, which makes accept or connect calls of a node fail: ENOMEM, ENFILE,
 # EMFILE, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ECONNABORTED, ENOBUFS, EHOSTUNREACH
 ERROR_NUMBERS = (12, 23, 24, 99, 100, 101, 103, 105, 113)
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -92,7 +92,9 @@
                 return
             self._disconnect()
             if request.request_id in self._observations.attempts:
-                # The client never repeats a request that a server received; the oracle judges its response.
+                # The connection ended without a response, but a server of the soak has received the request.
+                # The client never repeats such a request: the check of all requests after the run
+                # (soak/oracle.py) judges the missing response.
                 return
             # The client repeats a request if the node closed the connection before a server received it.
 
--- a/soak/nodes.py
+++ b/soak/nodes.py
@@ -21,9 +21,10 @@
 # ports at which nodes listen for clients, below the ephemeral ports of Linux for outgoing connections
 LISTEN_PORTS = range(15_000, 30_000)
 MAX_READY_SECONDS = 10.0  # time from the start of a node's process until the node must be ready
-# longest request deadline that the platform takes into account when it shuts a node down
+# longest request deadline for which the platform that runs the nodes waits between SIGTERM and SIGKILL
 MAX_DEADLINE_SECONDS = 3.0
-# shortest time that the platform adds to the longest request deadline before it kills a node in shutdown
+# shortest time that the platform that runs the nodes adds to the longest request deadline before it kills a
+# node in shutdown
 KILL_DELAY_SECONDS = 0.7
 NEW_CONNECTIONS_SECONDS = 0.3  # time after SIGTERM to a node for which clients still connect to the node
 MAX_SIGNAL_GAP_SECONDS = 0.005  # longest pause between two consecutive signals to a node's process
@@ -51,7 +52,8 @@
         self.agents = [DiscoveryAgent(), DiscoveryAgent()]
         self.agent_index = 0  # index, 0 or 1, of the discovery agent that the node's configuration names
         self.is_up = False  # whether clients of the soak open new connections to the node
-        # monotonic time in seconds before which the oracle does not expect the node to know endpoint updates
+        # monotonic time in seconds before which the soak's check for attempts at drained servers
+        # (soak/oracle.py) does not expect the node to know endpoint updates
         self.notified_from = 0.0
         self.violations: list[Violation] = []
         self._folder = folder
--- a/soak/oracle.py
+++ b/soak/oracle.py
@@ -16,8 +16,8 @@
 ANSWER_GRACE_SECONDS = 0.5  # time after a request's deadline within which a late response is no violation
 # time after a client disconnects within which a server may still receive an attempt of the client's request
 DISCONNECT_GRACE_SECONDS = 0.1
-# time for which a node may still send attempts to a server after the notification of the server's drain,
-# with the platform's tolerance
+# time for which a node may still send attempts to a server after the notification of the server's drain: the
+# limit of 500 ms and the tolerance of 50 ms that the platform's protocol adds to each time limit
 DRAIN_GRACE_SECONDS = 0.55
 # time by which the timeout in an attempt's X-Deadline may exceed the time until its request's deadline
 DEADLINE_TOLERANCE_SECONDS = 0.15
