--- a/moleport/node/attempt.py
+++ b/moleport/node/attempt.py
@@ -28,9 +28,10 @@
 # After a hold, in which the event loop did not run, an attempt must wait until all input is read. At this
 # interval it asks the attempt supervisor, which starts all attempts, again whether it may connect or write.
 PERMISSION_POLL_INTERVAL_S = 0.002
-# Delay of an attempt's expiry timer above which a hold of the process is assumed.
+# If the timer of an attempt's timeout fires late by more than this, a hold of the process is assumed.
 MAX_TIMER_DELAY_NS = 5 * NS_PER_MS
-# Wait after an attempt's late expiry timer, in which each readable socket is read at least once.
+# If the timer of an attempt's timeout fires late, the attempt times out only after this wait, in which the
+# event loop reads each readable socket at least once, so that a response that has arrived still counts.
 SOCKET_READ_DELAY_S = 0.001
 
 UNSENT_RESULTS = (AttemptResult.NOT_SENT, AttemptResult.CONNECT_FAILED)
@@ -163,8 +164,7 @@
         self._connect_task: asyncio.Task[None] | None = None
         self._new_connection: ServerConnection | None = None
         self._permission_timer: asyncio.TimerHandle | None = None
-        # Number of the attempt's connect failures by a fault of this machine or its network.
-        self._local_fault_count = 0
+        self._local_fault_count = 0  # number of connect failures by faults of this machine or its network
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._write_deadline_timer: asyncio.TimerHandle | None = None
 
--- a/moleport/policy/slow_start.py
+++ b/moleport/policy/slow_start.py
@@ -92,9 +92,9 @@
         # number of requests that warm endpoints answered successfully in the current measurement window
         self._window_answers = 0
         self.window_arrivals = 0
-        """Requests that arrived in the current window."""
+        """Number of requests that arrived at this node in the current measurement window."""
         # Decaying sum, over all measurement windows, of the number of successful answers of warm endpoints.
-        # Divided by `_warm_weight_ns`, it is their mean request rate per ns and weight of 1.0.
+        # Divided by `_warm_weight_ns`, it is a warm endpoint's mean rate in requests per ns for weight 1.0.
         self._warm_answers = 0.0
         # Decaying sum, over all measurement windows, of the total weight of the warm endpoints times the
         # length of the window in ns; the divisor of the mean request rate of warm endpoints.
@@ -102,9 +102,10 @@
         # Decaying sum, in ns, of the lengths of all windows in which the weight of the warm endpoints was
         # measured. `_warm_weight_ns` divided by it is the mean weight of the warm endpoints.
         self._measured_ns = 0.0
-        # number of requests that warm endpoints answer successfully per ns and weight of 1.0; 0: not known
+        # number of requests per ns that a warm endpoint of weight 1.0 answers successfully; 0: not known
         self._warm_request_rate = 0.0
-        # request rate per ns and weight of 1.0 assumed in slow start until a warm endpoint has been measured
+        # request rate of a warm endpoint of weight 1.0, in requests per ns, that slow start assumes until the
+        # rate of a warm endpoint has been measured; derived from the arrival rate of requests at this node
         self._assumed_request_rate = 0.0
         # moving mean of the arrival rate of requests at this node, in requests per ns
         self._arrival_rate = 0.0
--- a/soak/nodes.py
+++ b/soak/nodes.py
@@ -27,8 +27,10 @@
 # node in shutdown
 KILL_DELAY_SECONDS = 0.7
 NEW_CONNECTIONS_SECONDS = 0.3  # time after SIGTERM to a node for which clients still connect to the node
-MAX_SIGNAL_GAP_SECONDS = 0.005  # longest pause between two consecutive signals to a node's process
-# exclusive upper bound of the random number of SIGHUP and SIGTERM signals to a node in one series
+# upper bound of the random pause between two consecutive signals that the soak sends to a node's process
+MAX_SIGNAL_GAP_SECONDS = 0.005
+# exclusive upper bound of the random number of signals, SIGHUP or SIGTERM, that the soak sends to a node's
+# process in one series
 SIGNAL_COUNT_BOUND = 4
 NS_PER_SECOND = 10**9
 LOGGED_FAULTS = ("Traceback", "invariant violated", "the policy failed", "action failed")
