--- a/moleport/node/hold_detector.py
+++ b/moleport/node/hold_detector.py
@@ -23,7 +23,9 @@
 # Delay of the event loop's heartbeat timer from which on a hold is reported.
 # The delays in an event loop that is only busy are shorter.
 MIN_HOLD_NS = 100 * NS_PER_MS
-# Wait after a late heartbeat timer, in which the event loop reads all readable sockets once.
+# Wait after a periodic timer, the heartbeat, that is so late that the event loop did not run for a while. In
+# this wait the loop reads all readable sockets once. Until it ends, connects and writes to servers and checks
+# of the time limits of client connections are put off, because unread data may affect them.
 SETTLE_DELAY_S = 0.001
 
 
--- a/moleport/policy/endpoint_subset.py
+++ b/moleport/policy/endpoint_subset.py
@@ -110,7 +110,9 @@
             self._start = settings.node_index / settings.node_count
             self._own_zone_start = settings.node_index * GOLDEN_RATIO
         self._peak_in_flight = 0.0
-        # number of requests without a key in the current measurement window
+        # Number of requests without a routing key (the hash by which endpoints are selected for a request)
+        # that arrived in the current measurement window, a period of WINDOW_NS. When it ends, the moving mean
+        # of the fraction of this node's requests that have no routing key is updated, and this is set to 0.
         self._keyless_count = 0
         # moving mean of the fraction of requests without a key
         self._keyless_ratio = 0.0
--- a/moleport/policy/timing.py
+++ b/moleport/policy/timing.py
@@ -4,7 +4,9 @@
 
 from random import Random
 
-# length of a measurement window in ns: the time between two updates of rates and caps
+# Length of a measurement window in ns: the period after which this node updates the request rates that it
+# measures, the rejection rates that it keeps for each server endpoint, and its caps on the number of attempts
+# in flight (tries to send a request to a server that have not ended), of which each request class has one.
 WINDOW_NS = 500_000_000
 
 
